--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -44,14 +44,14 @@
 {
   struct entry *entry = call->entry;
   char token[TOKEN_LIMIT_BYTES] = "";
-  if (call->session_known)
+  if (call->session_loaded)
     session_print (&call->session, entry->token_key, call->service,
                    call->caller, token, sizeof token);
   struct entry_answer out = {
     .outcome = answer->outcome,
     .reason = answer->reason,
     .request_id = call->request_id,
-    .token = call->session_known || MUTANT (empty_token) ? token : NULL,
+    .token = call->session_loaded || MUTANT (empty_token) ? token : NULL,
     .transaction = answer->transaction,
     .payload = answer->payload,
     .payload_bytes = answer->payload_bytes,
@@ -88,7 +88,7 @@
   kernel_timer_set (call->entry->base.kernel, &call->timer, due_ms);
 }
 
-/* Fires when a hold ends.  */
+/* Routes a held or delayed call, or hedges a read that is in flight.  */
 static void
 on_call_timer (void *arg)
 {
@@ -105,7 +105,7 @@
 }
 
 static void
-answer_early (void *arg)
+fail_deferred (void *arg)
 {
   struct entry_call *call = arg;
   call_fail (call, OUTCOME_NOT_RUN, call->reason);
@@ -139,7 +139,7 @@
   if (call->reason == REASON_NONE)
     kernel_defer (kernel, route_deferred, call);
   else
-    kernel_defer (kernel, answer_early, call);
+    kernel_defer (kernel, fail_deferred, call);
 }
 
 void
@@ -154,7 +154,7 @@
   return entry->call_count + entry->tx_count;
 }
 
-/* Wakes the calls that wait for a change of this database's term.  */
+/* Routes the calls that are held for a term of this database.  */
 static void
 on_term (void *arg, const char *database, const struct term_record *record)
 {
--- a/src/core/entry_call.h
+++ b/src/core/entry_call.h
@@ -1,5 +1,6 @@
-/* entry_call - one request on its way to its answer; private to the entry
-   module.  */
+/* entry_call - state of one request until it is answered.
+
+   Private to the entry module; shared by the entry*.c files.  */
 
 #ifndef SAVORYWAY_CORE_ENTRY_CALL_H
 #define SAVORYWAY_CORE_ENTRY_CALL_H
@@ -12,56 +13,85 @@
 #include "core/session.h"
 #include "core/view.h"
 
+/* A held call is routed again after 0.5 to 1.5 times this delay.  Also the
+   retry-after hint of a refusal because of max_requests.  */
 #define ENTRY_HOLD_RETRY_MS 200
+
+/* Held calls on this host.  */
 #define ENTRY_HELD_LIMIT 4096
-#define ENTRY_RESOLVE_MS 15000 /* past the deadline, to look an outcome up */
-#define ENTRY_RESOLVE_STEP_MS 1000
+
+/* Time past the deadline for which an unknown outcome is still looked up.  */
+#define ENTRY_RESOLVE_GRACE_MS 15000
+
+/* Deadline of one look-up or tombstone write.  */
+#define ENTRY_RESOLVE_TIMEOUT_MS 1000
+
+/* Added to the deadline that a gateway is given, so that its own answer
+   arrives before the peer call times out.  */
 #define ENTRY_REPLY_MARGIN_MS 250
+
+/* Retries of a request under POLICY_PLAIN.  */
 #define ENTRY_PLAIN_RETRIES 3
-#define ENTRY_READ_TRIES 6
-#define ENTRY_SERVICE_SHARE 2 /* of a full table, in equal parts */
+
+/* Attempts of a refused read before further ones need the retry budget.  */
+#define ENTRY_READ_ATTEMPTS 6
+
+/* Above max_requests / ENTRY_FAIR_SHARE_DIVISOR requests in flight, each
+   service is limited to its weighted share of max_requests.  */
+#define ENTRY_FAIR_SHARE_DIVISOR 2
+
+/* Transactions this host sends heartbeats for.  */
 #define ENTRY_TX_LIMIT 1024
+
+/* Interval and timeout of heartbeats.  */
 #define ENTRY_HEARTBEAT_MS 1000
-#define ENTRY_HEDGE_LEAST_MS 40
-#define ENTRY_HEDGE_RATIO 4    /* of the kind's typical latency */
-#define ENTRY_HEDGE_KIND_MS 50 /* kinds that take longer are not hedged */
+
+/* A read is hedged after ENTRY_HEDGE_DELAY_RATIO times the typical latency of
+   its kind, but not before ENTRY_HEDGE_MIN_DELAY_MS.  Kinds with a typical
+   latency above ENTRY_HEDGE_MAX_TYPICAL_MS are not hedged.  */
+#define ENTRY_HEDGE_MIN_DELAY_MS 40
+#define ENTRY_HEDGE_DELAY_RATIO 4
+#define ENTRY_HEDGE_MAX_TYPICAL_MS 50
+
+/* "CALLER:REQUEST_ID", with its NUL.  */
 #define LEDGER_KEY_BYTES (NAME_BYTES + 1 + REQUEST_ID_BYTES)
 
 enum call_phase
 {
-  CALL_NEW,
-  CALL_HELD,      /* until the term record moves or a retry is due */
-  CALL_SENT,      /* to a gateway */
-  CALL_RESOLVING, /* a look-up of the outcome is sent */
+  CALL_NEW,       /* about to be routed, at once or by the timer */
+  CALL_HELD,      /* waits for a new term record or the retry timer */
+  CALL_SENT,      /* waits for the answer of a gateway */
+  CALL_RESOLVING, /* waits for the answer to a look-up */
   CALL_FINISHED
 };
 
 enum send_purpose
 {
   SEND_REQUEST,
-  SEND_TOMBSTONE, /* a ledger row that keeps the request from running */
-  SEND_LOOKUP
+  SEND_TOMBSTONE, /* ledger row that prevents the request from running */
+  SEND_LOOKUP     /* reads the ledger row of the request */
 };
 
-/* A message to a gateway that waits for its answer.  */
+/* A message in flight to a gateway.  */
 struct entry_attempt
 {
   struct entry_call *call;
-  uint64_t id; /* of peers_call; 0 if none is sent */
+  uint64_t id; /* returned by peers_call; 0 if none is in flight */
   clk_ms sent_ms;
   char instance[PATH_BYTES];
 };
 
+/* An open transaction for which this host sends heartbeats.  */
 struct entry_tx
 {
   uint64_t id;
   char host[NAME_BYTES]; /* its gateway */
-  bool announced;        /* in a heartbeat */
+  bool announced;        /* has been sent in a heartbeat */
   struct entry_tx *prev;
   struct entry_tx *next;
 };
 
-/* A service's requests in flight on this host.  */
+/* Requests of one service in flight on this host.  */
 struct entry_load
 {
   char service[2 * NAME_BYTES + 1];
@@ -77,7 +107,7 @@
   entry_done done;
   void *arg;
   enum entry_action action;
-  bool explains; /* for an operator, who has no caller's secret; never run */
+  bool explain_only; /* by an operator, without a caller's secret */
   struct view_kind kind;
   struct entry_load *load;
   char service[2 * NAME_BYTES + 1];
@@ -88,30 +118,31 @@
   size_t param_count;
   peer_param *params;
   struct session session;
-  bool session_known;       /* the request's token has been taken in */
+  bool session_loaded;      /* the request's token has been decoded */
   struct position position; /* of the session in the database */
   clk_ms started_ms;
   clk_ms deadline_ms;
   enum call_phase phase;
   struct ktimer timer;
   struct entry_attempt first;
-  struct entry_attempt hedge; /* the same read, sent to another instance */
+  struct entry_attempt hedge; /* same read, sent to a second instance */
   enum send_purpose purpose;
   uint64_t sent_term;
-  size_t host_index; /* which of the gateway's hosts */
+  size_t host_index; /* in the result of gateway_hosts */
   char instance[PATH_BYTES];
   char host[NAME_BYTES];
   uint32_t attempts;
   uint32_t retries;
   size_t tried_count;
   char tried[ROUTER_AVOID_LIMIT][PATH_BYTES];
-  uint64_t uncertain_term; /* highest term in which it may have run */
-  bool retry;              /* an earlier request of this id may have run */
-  bool maybe_ran;          /* earlier, and no ledger row says otherwise */
+  uint64_t uncertain_term; /* highest term in which it may run; 0 if none */
+  bool retry;              /* an earlier request with this id may have run */
+  bool maybe_ran;          /* an earlier attempt may have run, so a refusal is
+                              answered with OUTCOME_UNKNOWN */
   enum reason reason;      /* of the latest refusal */
-  bool busy;               /* it was for want of a slot */
+  bool busy;               /* latest refusal of a read: no slot in time */
   clk_ms retry_after_ms;
-  uint64_t tx_id; /* of an open transaction */
+  uint64_t tx_id; /* open transaction; 0 if none */
   uint64_t tx_term;
   struct entry_call *prev;
   struct entry_call *next;
@@ -138,7 +169,7 @@
   struct ktimer heartbeat_timer;
 };
 
-/* What an answer carries besides the outcome.  */
+/* Parts of an answer that depend on how the call ended.  */
 struct call_answer
 {
   enum outcome outcome;
@@ -162,56 +193,86 @@
   return kernel_now (call->entry->base.kernel);
 }
 
-/* Whether the outcome of the request is kept in the ledger.  */
+/* Returns whether the outcome of the request is stored in the ledger.  */
 static inline bool
-call_is_once (const struct entry_call *call)
+call_uses_ledger (const struct entry_call *call)
 {
   if (call->action == ENTRY_STATEMENT)
     return call->kind.write && !call->kind.repeatable;
   return call->action == ENTRY_COMMIT || call->action == ENTRY_LOOKUP;
 }
 
-/* entry_submit.c: checks; return REASON_NONE or why not.  */
+/* entry_submit.c */
+
+/* Fills CALL from REQUEST and checks it.  Returns REASON_NONE or the reason
+   for the refusal.  */
 enum reason call_check (struct entry_call *call,
                         const struct entry_request *request);
 
-/* entry_route.c: where the call goes next.  */
+/* entry_route.c */
+
+/* Sends, holds or answers CALL, depending on its state.  */
 void call_route (struct entry_call *call);
+/* Routes CALL again when a term becomes active, or after a delay.  Answers it
+   with REASON_OVERLOAD at ENTRY_HELD_LIMIT.  */
 void call_hold (struct entry_call *call, enum reason reason);
+/* Routes CALL again after a random backoff, or answers it with REASON if the
+   retry budget is used up.  Under POLICY_PLAIN there is a fixed number of
+   retries and no delay.  */
 void call_retry (struct entry_call *call, enum reason reason);
-bool call_pick (struct entry_call *call, struct router_rating *choice);
+/* Selects an instance that was not tried yet; false if there is none.  */
+bool call_pick_instance (struct entry_call *call,
+                         struct router_rating *choice);
 void call_mark_tried (struct entry_call *call, const char *instance);
 
-/* entry_send.c: messages to gateways.  */
+/* entry_send.c */
+
 /* Sends CALL to a gateway of INSTANCE, to run under TERM.  */
 void call_send (struct entry_call *call, const struct view_instance *instance,
                 uint64_t term, enum send_purpose purpose);
-/* Sends a read that takes long to a second instance as well.  */
+/* Sends a read that is late to a second instance as well.  */
 void call_send_hedge (struct entry_call *call);
-/* Sends CALL, in a transaction, to the gateway that holds it.  */
+/* Sends CALL to TO, the gateway of its transaction.  */
 void call_send_tx (struct entry_call *call, const struct peer_address *to);
-void call_read_states (struct entry_call *call, const peer_executed *executed);
-/* Finishes CALL with what a gateway answered.  */
+/* Passes the instance states in EXECUTED to the router.  */
+void call_observe_states (struct entry_call *call,
+                          const peer_executed *executed);
+/* Finishes CALL with the answer of a gateway.  */
 void call_finish_executed (struct entry_call *call,
                            const peer_executed *executed);
-/* Goes on after an attempt that certainly did not run, or may have run.  */
-void call_refused (struct entry_call *call, const peer_executed *executed);
-void call_uncertain (struct entry_call *call, enum reason reason);
 
-/* entry_resolve.c: outcomes that are not known.  */
+/* entry_resolve.c */
+
+/* Continues after an attempt that certainly did not run.  */
+void call_refused (struct entry_call *call, const peer_executed *executed);
+/* Continues after an attempt that may have run.  */
+void call_outcome_unknown (struct entry_call *call, enum reason reason);
+/* Determines whether a call of unknown outcome has run.  */
 void call_resolve (struct entry_call *call);
+/* Continues with the answer to a look-up or tombstone write.  */
 void call_resolved (struct entry_call *call, const peer_executed *executed);
 
-/* entry_tx.c: transactions.  */
-bool call_open_handle (struct entry_call *call, const char *handle);
+/* entry_tx.c */
+
+/* Reads the transaction HANDLE into CALL; false if it is not valid for the
+   service and caller.  */
+bool call_decode_handle (struct entry_call *call, const char *handle);
+/* Sends CALL to the gateway of its transaction.  */
 void call_route_tx (struct entry_call *call);
-void call_begun (struct entry_call *call, const peer_executed *executed);
-void call_tx_over (struct entry_call *call);
+/* Answers ENTRY_BEGIN with the handle of the new transaction.  */
+void call_tx_begun (struct entry_call *call, const peer_executed *executed);
+/* Stops the heartbeats of the call's transaction, unless CALL is an
+   ENTRY_EXECUTE, after which it stays open.  */
+void call_tx_ended (struct entry_call *call);
 void entry_tx_start (struct entry *entry);
 void entry_tx_stop (struct entry *entry);
 
-/* entry.c: the one answer; frees the call.  */
+/* entry.c */
+
+/* Answers CALL and frees it.  */
 void call_finish (struct entry_call *call, const struct call_answer *answer);
+/* The same without a result.  OUTCOME_NOT_RUN becomes OUTCOME_UNKNOWN if an
+   earlier attempt may have run.  */
 void call_fail (struct entry_call *call, enum outcome outcome,
                 enum reason reason);
 void call_set_timer (struct entry_call *call, clk_ms due_ms);
--- a/src/core/entry_explain.c
+++ b/src/core/entry_explain.c
@@ -53,7 +53,7 @@
 }
 
 static void
-release (struct entry_call *call)
+free_call (struct entry_call *call)
 {
   for (size_t i = 0; i < call->param_count; i++)
     free (call->params[i].text);
@@ -70,7 +70,7 @@
   struct entry_call *call = mem_zalloc (sizeof *call);
   call->entry = entry;
   call->started_ms = kernel_now (entry->base.kernel);
-  call->explains = true;
+  call->explain_only = true;
   enum reason reason = call_check (call, request);
   json_t *root = NULL;
   if (reason == REASON_NONE
@@ -80,6 +80,6 @@
     root = json_pack ("{s:s}", "reason", reason_name (reason));
   char *text = json_dumps (root, JSON_COMPACT);
   json_decref (root);
-  release (call);
+  free_call (call);
   return text != NULL ? text : mem_strdup ("{}");
 }
--- a/src/core/entry_resolve.c
+++ b/src/core/entry_resolve.c
@@ -4,6 +4,7 @@
 #include "core/terms.h"
 #include "kernel/mutant.h"
 
+/* Returns whether a refusal for REASON ends the call without a retry.  */
 static bool
 is_final (enum reason reason)
 {
@@ -13,7 +14,7 @@
     case REASON_RESULT_TOO_LARGE:
     case REASON_TOKEN_AHEAD:
     case REASON_BAD_TRANSACTION:
-    case REASON_CONNECTION_LOST: /* a ledger row keeps it from running */
+    case REASON_CONNECTION_LOST: /* a ledger row prevents the run */
       return true;
     default:
       return false;
@@ -21,7 +22,7 @@
 }
 
 static void
-read_refused (struct entry_call *call, const peer_executed *executed)
+handle_refused_read (struct entry_call *call, const peer_executed *executed)
 {
   enum reason reason = executed->reason;
   bool busy = reason == REASON_OVERLOAD || reason == REASON_DEADLINE;
@@ -29,7 +30,7 @@
   call->retry_after_ms = executed->retry_after_ms;
   call_mark_tried (call, call->instance);
   bool plain = gateway_policy (call->entry->gateway) == POLICY_PLAIN;
-  if (plain || call->attempts >= ENTRY_READ_TRIES)
+  if (plain || call->attempts >= ENTRY_READ_ATTEMPTS)
     {
       call_retry (call, reason);
       return;
@@ -39,12 +40,12 @@
 }
 
 static void
-write_refused (struct entry_call *call, const peer_executed *executed)
+handle_refused_write (struct entry_call *call, const peer_executed *executed)
 {
   bool plain = gateway_policy (call->entry->gateway) == POLICY_PLAIN;
   switch (executed->reason)
     {
-    case REASON_DRAINING: /* until its primary has moved */
+    case REASON_DRAINING: /* the primary is moving elsewhere */
     case REASON_STALE_TERM:
     case REASON_NO_MAJORITY:
     case REASON_UNREACHABLE:
@@ -68,21 +69,21 @@
   if (call->tx_id != 0 || is_final (executed->reason))
     {
       if (executed->reason == REASON_BAD_TRANSACTION)
-        call_tx_over (call);
+        call_tx_ended (call);
       call_finish_executed (call, executed);
     }
   else if (call_is_read (call) && !strong)
-    read_refused (call, executed);
+    handle_refused_read (call, executed);
   else
-    write_refused (call, executed);
+    handle_refused_write (call, executed);
 }
 
 void
-call_uncertain (struct entry_call *call, enum reason reason)
+call_outcome_unknown (struct entry_call *call, enum reason reason)
 {
   if (call->action == ENTRY_BEGIN)
     {
-      /* A transaction that nobody knows of is rolled back.  */
+      /* Without heartbeats the gateway rolls the transaction back.  */
       call_fail (call, OUTCOME_NOT_RUN, reason);
       return;
     }
@@ -91,12 +92,12 @@
       call_fail (call, OUTCOME_UNKNOWN, reason);
       return;
     }
-  if (call_is_once (call) && MUTANT (tell_not_run))
+  if (call_uses_ledger (call) && MUTANT (tell_not_run))
     {
       call_fail (call, OUTCOME_NOT_RUN, reason);
       return;
     }
-  if (call_is_once (call))
+  if (call_uses_ledger (call))
     {
       if (call->sent_term > call->uncertain_term)
         call->uncertain_term = call->sent_term;
@@ -109,11 +110,11 @@
   call_retry (call, reason);
 }
 
-/* Finds out whether a request ran.  Within the term in which it may run, a
-   ledger row of its id without an answer is written: the row is refused if
-   the request has run, and keeps it from running otherwise.  Once a higher
-   term is active, no transaction of a lower one can commit any more, and a
-   look-up suffices.  */
+/* In the term in which the request may still run, an empty ledger row with
+   its id, a tombstone, is written: the insert fails if the request has run,
+   and otherwise the row prevents it from running.  Once a higher term is
+   active, transactions of lower terms can no longer commit, and reading the
+   ledger is enough.  */
 void
 call_resolve (struct entry_call *call)
 {
@@ -121,7 +122,7 @@
   struct view_database *database = view_database (entry->view, call->database);
   const struct term_record *record = terms_get (entry->terms, call->database);
   struct view_instance *primary = NULL;
-  if (call_now (call) >= call->deadline_ms + ENTRY_RESOLVE_MS)
+  if (call_now (call) >= call->deadline_ms + ENTRY_RESOLVE_GRACE_MS)
     {
       call_fail (call, OUTCOME_UNKNOWN,
                  call->reason ? call->reason : REASON_DEADLINE);
@@ -129,7 +130,7 @@
     }
   if (database != NULL && record != NULL && record->state == TERM_ACTIVE)
     primary = view_instance (database, record->primary);
-  /* An earlier request of this id may yet run under the present term.  */
+  /* An earlier request with this id may still run in the current term.  */
   if (call->retry && record != NULL)
     call->uncertain_term = record->term;
   if (primary == NULL || record->term < call->uncertain_term)
@@ -137,17 +138,17 @@
       call_hold (call, call->reason ? call->reason : REASON_NO_PRIMARY);
       return;
     }
-  bool later = record->term > call->uncertain_term;
+  bool fenced = record->term > call->uncertain_term;
   call->host_index = 0;
   metrics_count (kernel_metrics (entry->base.kernel),
-                 later ? "entry_lookups_total" : "entry_tombstones_total");
+                 fenced ? "entry_lookups_total" : "entry_tombstones_total");
   log_event (
       kernel_log (entry->base.kernel), LOG_NOTICE, "resolve",
       LOG_S ("request", call->request_id), LOG_S ("database", call->database),
-      LOG_S ("how", later ? "look-up" : "tombstone"),
+      LOG_S ("how", fenced ? "look-up" : "tombstone"),
       LOG_U ("sent_term", call->uncertain_term), LOG_U ("term", record->term));
   call_send (call, primary, record->term,
-             later ? SEND_LOOKUP : SEND_TOMBSTONE);
+             fenced ? SEND_LOOKUP : SEND_TOMBSTONE);
 }
 
 void
@@ -155,15 +156,15 @@
 {
   enum reason reason = executed->reason;
   bool found = executed->outcome == OUTCOME_DONE;
-  bool barred = executed->outcome == OUTCOME_NOT_RUN
-                && reason == REASON_CONNECTION_LOST && executed->term != 0;
+  bool blocked = executed->outcome == OUTCOME_NOT_RUN
+                 && reason == REASON_CONNECTION_LOST && executed->term != 0;
   bool absent = executed->outcome == OUTCOME_NOT_RUN && reason == REASON_NONE
                 && call->purpose == SEND_LOOKUP;
-  if (found || barred)
+  if (found || blocked)
     {
       call->maybe_ran = false;
       if (call->tx_id != 0)
-        call_tx_over (call);
+        call_tx_ended (call);
       call_finish_executed (call, executed);
       return;
     }
--- a/src/core/entry_route.c
+++ b/src/core/entry_route.c
@@ -4,7 +4,6 @@
 #include "core/entry_call.h"
 #include "core/terms.h"
 
-/* Waits for the term record to move, or a while.  */
 void
 call_hold (struct entry_call *call, enum reason reason)
 {
@@ -32,7 +31,6 @@
   call_set_timer (call, due_ms);
 }
 
-/* Tries again after a random delay, if the budget allows it.  */
 void
 call_retry (struct entry_call *call, enum reason reason)
 {
@@ -59,8 +57,8 @@
                   due_ms < call->deadline_ms ? due_ms : call->deadline_ms);
 }
 
-/* Checks the session's position against the history of the database.
-   Returns false if the call is held or answered.  */
+/* Checks that the session's position is part of the database's history.
+   Otherwise holds or answers the call and returns false.  */
 static bool
 check_position (struct entry_call *call, const struct term_record *record)
 {
@@ -119,9 +117,8 @@
   call->tried_count++;
 }
 
-/* Chooses an instance that was not tried yet.  */
 bool
-call_pick (struct entry_call *call, struct router_rating *choice)
+call_pick_instance (struct entry_call *call, struct router_rating *choice)
 {
   struct entry *entry = call->entry;
   struct router_query query
@@ -141,7 +138,7 @@
 {
   struct router_rating choice;
   bool busy = call->busy;
-  bool found = call_pick (call, &choice);
+  bool found = call_pick_instance (call, &choice);
   call->busy = false;
   if (busy && !found)
     {
--- a/src/core/entry_send.c
+++ b/src/core/entry_send.c
@@ -46,13 +46,13 @@
     execute->max_age_ms = call->kind.max_age_ms;
 }
 
-/* Time left to the gateway: that of the request, or of one step of looking
-   its outcome up.  */
+/* Returns the deadline for the gateway: that of the request, or that of one
+   look-up or tombstone write.  */
 static clk_ms
 time_left (const struct entry_call *call)
 {
   clk_ms left_ms = call->deadline_ms - call_now (call);
-  return call->purpose == SEND_REQUEST ? left_ms : ENTRY_RESOLVE_STEP_MS;
+  return call->purpose == SEND_REQUEST ? left_ms : ENTRY_RESOLVE_TIMEOUT_MS;
 }
 
 static void on_reply (void *arg, enum peer_status status,
@@ -72,7 +72,7 @@
   execute->instance = attempt->instance;
   execute->kind = call->kind.name;
   execute->request_id
-      = call_is_once (call) && !MUTANT (skip_ledger) ? key : empty;
+      = call_uses_ledger (call) && !MUTANT (skip_ledger) ? key : empty;
   execute->action = wire_action (call, call->purpose);
   execute->transaction = call->tx_id;
   execute->deadline_ms = time_left (call);
@@ -89,7 +89,7 @@
   call->phase = CALL_SENT;
   attempt->sent_ms = call_now (call);
   call->attempts++;
-  router_sent (entry->router, attempt->instance);
+  router_request_sent (entry->router, attempt->instance);
   log_event (kernel_log (entry->base.kernel), LOG_INFO, "send",
              LOG_S ("request", call->request_id),
              LOG_S ("instance", attempt->instance), LOG_S ("host", to->name),
@@ -101,23 +101,23 @@
                             on_reply, attempt);
 }
 
-/* Sets when a read that has no answer yet is sent once more.  */
+/* Sets the timer after which a read is sent to a second instance.  */
 static void
-plan_hedge (struct entry_call *call)
+schedule_hedge (struct entry_call *call)
 {
   struct entry *entry = call->entry;
   bool plain = gateway_policy (entry->gateway) == POLICY_PLAIN;
-  bool may = call_is_read (call) && call->kind.repeatable
-             && call->kind.freshness != FRESHNESS_STRONG;
-  if (plain || !may)
+  bool eligible = call_is_read (call) && call->kind.repeatable
+                  && call->kind.freshness != FRESHNESS_STRONG;
+  if (plain || !eligible)
     return;
   clk_ms typical_ms
       = router_typical_ms (entry->router, call->database, call->kind.name);
-  clk_ms delay_ms = ENTRY_HEDGE_RATIO * typical_ms;
-  if (typical_ms > ENTRY_HEDGE_KIND_MS)
+  clk_ms delay_ms = ENTRY_HEDGE_DELAY_RATIO * typical_ms;
+  if (typical_ms > ENTRY_HEDGE_MAX_TYPICAL_MS)
     return;
-  if (delay_ms < ENTRY_HEDGE_LEAST_MS)
-    delay_ms = ENTRY_HEDGE_LEAST_MS;
+  if (delay_ms < ENTRY_HEDGE_MIN_DELAY_MS)
+    delay_ms = ENTRY_HEDGE_MIN_DELAY_MS;
   call_set_timer (call, call_now (call) + delay_ms);
 }
 
@@ -129,7 +129,7 @@
   const struct member *hosts[GATEWAY_HOSTS];
   struct router_rating choice;
   call_mark_tried (call, call->first.instance);
-  if (time_left (call) <= 0 || !call_pick (call, &choice)
+  if (time_left (call) <= 0 || !call_pick_instance (call, &choice)
       || gateway_hosts (entry->members, choice.instance, hosts) == 0)
     return;
   if (!retry_budget_take (&call->load->budget))
@@ -166,7 +166,7 @@
     }
   size_t index = call->host_index < count ? call->host_index : count - 1;
   transmit (&call->first, &hosts[index]->address);
-  plan_hedge (call);
+  schedule_hedge (call);
 }
 
 void
@@ -179,7 +179,7 @@
 }
 
 void
-call_read_states (struct entry_call *call, const peer_executed *executed)
+call_observe_states (struct entry_call *call, const peer_executed *executed)
 {
   for (u_int i = 0; i < executed->states.states_len; i++)
     router_observe (call->entry->router, &executed->states.states_val[i]);
@@ -205,8 +205,8 @@
   call_finish (call, &answer);
 }
 
-/* Sends again to the second host of the same instance; false if that was
-   it.  */
+/* Sends the call to the other gateway of the same instance.  Returns false if
+   there is none or it was already used.  */
 static bool
 try_second_host (struct entry_call *call)
 {
@@ -229,7 +229,7 @@
 }
 
 static enum router_result
-classify (enum peer_status status, const peer_executed *executed)
+router_result_of (enum peer_status status, const peer_executed *executed)
 {
   if (status != PEER_OK)
     return ROUTER_FAILED;
@@ -243,48 +243,50 @@
 static void
 on_executed (struct entry_call *call, const peer_executed *executed)
 {
-  bool elsewhere = executed->outcome == OUTCOME_NOT_RUN
-                   && executed->reason == REASON_UNREACHABLE;
-  if (elsewhere && try_second_host (call))
+  bool unreachable = executed->outcome == OUTCOME_NOT_RUN
+                     && executed->reason == REASON_UNREACHABLE;
+  if (unreachable && try_second_host (call))
     return;
   if (call->purpose != SEND_REQUEST)
     call_resolved (call, executed);
   else if (executed->outcome == OUTCOME_UNKNOWN)
-    call_uncertain (call, executed->reason);
+    call_outcome_unknown (call, executed->reason);
   else if (executed->outcome == OUTCOME_NOT_RUN)
     call_refused (call, executed);
   else if (call->action == ENTRY_BEGIN)
-    call_begun (call, executed);
+    call_tx_begun (call, executed);
   else
     {
       if (call->tx_id != 0)
-        call_tx_over (call);
+        call_tx_ended (call);
       call_finish_executed (call, executed);
     }
 }
 
-/* Forgets an attempt whose answer no longer matters.  The time that a read
-   has waited for it in vain is the least that its latency would have been. */
+/* Cancels an attempt that is in flight when the other one was answered.  If a
+   hedge was faster than the first attempt, the time waited so far is recorded
+   as the latency of the first, as a lower bound.  */
 static void
-drop_attempt (struct entry_attempt *attempt)
+cancel_attempt (struct entry_attempt *attempt)
 {
   struct entry_call *call = attempt->call;
   struct entry *entry = call->entry;
-  bool overtaken = attempt == &call->first;
+  bool hedge_won = attempt == &call->first;
   if (attempt->id == 0)
     return;
   peers_cancel (entry->peers, attempt->id);
   attempt->id = 0;
-  router_done (entry->router, call->database, attempt->instance,
-               overtaken ? call->kind.name : NULL,
-               call_now (call) - attempt->sent_ms,
-               overtaken ? ROUTER_SERVED : ROUTER_REFUSED);
+  router_request_done (entry->router, call->database, attempt->instance,
+                       hedge_won ? call->kind.name : NULL,
+                       call_now (call) - attempt->sent_ms,
+                       hedge_won ? ROUTER_SERVED : ROUTER_REFUSED);
 }
 
-/* Whether another attempt of the same read may still bring an answer.  */
+/* Returns whether to wait for the other attempt of the same read, after
+   ATTEMPT was refused or failed.  */
 static bool
-waits_for_other (const struct entry_attempt *attempt,
-                 const peer_executed *executed)
+is_other_pending (const struct entry_attempt *attempt,
+                  const peer_executed *executed)
 {
   const struct entry_call *call = attempt->call;
   const struct entry_attempt *other
@@ -295,8 +297,9 @@
          && executed->reason != REASON_TOKEN_AHEAD;
 }
 
-/* Whether an acknowledgement that rests on a view of the term comes too late
-   for it: the primary may have been replaced meanwhile.  */
+/* Returns whether an acknowledgement under ACK_PRIMARY took longer than
+   ACK_TRANSIT_MS.  It relies on the gateway's view of the term, which may be
+   outdated by now: the primary may have been replaced.  */
 static bool
 is_overdue (const struct entry_attempt *attempt, const peer_executed *executed)
 {
@@ -313,7 +316,7 @@
 {
   static const peer_executed not_delivered
       = { .outcome = OUTCOME_NOT_RUN, .reason = REASON_UNREACHABLE };
-  static const peer_executed lost
+  static const peer_executed answer_lost
       = { .outcome = OUTCOME_UNKNOWN, .reason = REASON_CONNECTION_LOST };
   struct entry_attempt *attempt = arg;
   struct entry_call *call = attempt->call;
@@ -325,22 +328,22 @@
   else if (status == PEER_OK)
     status = PEER_UNREACHABLE;
   if (executed != NULL)
-    call_read_states (call, executed);
-  router_done (entry->router, call->database, attempt->instance,
-               call_is_read (call) ? call->kind.name : NULL,
-               call_now (call) - attempt->sent_ms,
-               classify (status, executed));
+    call_observe_states (call, executed);
+  router_request_done (entry->router, call->database, attempt->instance,
+                       call_is_read (call) ? call->kind.name : NULL,
+                       call_now (call) - attempt->sent_ms,
+                       router_result_of (status, executed));
   if (status == PEER_UNREACHABLE)
     executed = &not_delivered;
   else if (status != PEER_OK || is_overdue (attempt, executed))
-    executed = &lost;
-  if (waits_for_other (attempt, executed))
+    executed = &answer_lost;
+  if (is_other_pending (attempt, executed))
     {
       call_mark_tried (call, attempt->instance);
       return;
     }
-  drop_attempt (&call->first);
-  drop_attempt (&call->hedge);
+  cancel_attempt (&call->first);
+  cancel_attempt (&call->hedge);
   kernel_timer_cancel (entry->base.kernel, &call->timer);
   call->phase = CALL_NEW;
   memcpy (call->instance, attempt->instance, sizeof call->instance);
--- a/src/core/entry_submit.c
+++ b/src/core/entry_submit.c
@@ -8,6 +8,7 @@
 #include "kernel/mutant.h"
 #include "kernel/text.h"
 
+/* Services with a struct entry_load on this host.  */
 #define LOAD_LIMIT 4096
 
 static enum reason
@@ -15,7 +16,7 @@
               const struct view_service *service)
 {
   const struct view_caller *caller = NULL;
-  if (call->explains)
+  if (call->explain_only)
     return REASON_NONE;
   if (request->caller != NULL)
     caller = view_caller (service, request->caller);
@@ -25,7 +26,8 @@
   return REASON_NONE;
 }
 
-/* Finds the database that REQUEST names, or the only one.  */
+/* Finds the database that REQUEST names, or the only one of the service if
+   it names none.  */
 static enum reason
 find_database (struct entry_call *call, const struct entry_request *request,
                const struct view_service *service)
@@ -48,7 +50,7 @@
 }
 
 static struct entry_load *
-take_load (struct entry *entry, const struct view_service *service)
+find_or_add_load (struct entry *entry, const struct view_service *service)
 {
   struct entry_load *load = NULL;
   HASH_FIND_STR (entry->loads, service->name, load);
@@ -65,14 +67,14 @@
   return load;
 }
 
-/* Whether the table has room for one more request of LOAD.  Once it is half
-   full, a service gets no more than its weighted share of it.  */
+/* Returns whether one more request of LOAD is within max_requests.  Once half
+   of it is in use, each service is limited to its weighted share.  */
 static bool
-has_room (const struct entry *entry, const struct entry_load *load)
+has_capacity (const struct entry *entry, const struct entry_load *load)
 {
   if (entry->call_count > entry->max_requests)
     return false;
-  if (entry->call_count <= entry->max_requests / ENTRY_SERVICE_SHARE)
+  if (entry->call_count <= entry->max_requests / ENTRY_FAIR_SHARE_DIVISOR)
     return true;
   uint64_t weights = load->count == 0 ? load->weight : 0;
   for (const struct entry_load *l = entry->loads; l != NULL; l = l->hh.next)
@@ -86,8 +88,8 @@
 check_load (struct entry_call *call, const struct view_service *service)
 {
   struct entry *entry = call->entry;
-  struct entry_load *load = take_load (entry, service);
-  if (load == NULL || !has_room (entry, load))
+  struct entry_load *load = find_or_add_load (entry, service);
+  if (load == NULL || !has_capacity (entry, load))
     {
       metrics_count (kernel_metrics (entry->base.kernel),
                      "entry_requests_limit_total");
@@ -111,20 +113,20 @@
                      "entry_bad_tokens_total");
       return REASON_BAD_TOKEN;
     }
-  if (!session_has_room (&call->session, call->database))
+  if (!session_has_capacity (&call->session, call->database))
     {
       metrics_count (kernel_metrics (entry->base.kernel),
                      "entry_sessions_limit_total");
       return REASON_OVERLOAD;
     }
-  call->session_known = true;
+  call->session_loaded = true;
   if (!MUTANT (forget_session))
     call->position = session_position (&call->session, call->database);
   return REASON_NONE;
 }
 
 static void
-make_request_id (struct entry_call *call)
+generate_request_id (struct entry_call *call)
 {
   struct rng *rng = kernel_rng (call->entry->base.kernel);
   snprintf (call->request_id, sizeof call->request_id,
@@ -145,9 +147,9 @@
     }
 }
 
-/* A write without a statement has a meaning of its own between hosts.  */
+/* Between hosts, a write with an empty statement is a tombstone.  */
 static bool
-lacks_statement (const struct entry_request *request)
+is_statement_missing (const struct entry_request *request)
 {
   bool needs
       = request->action == ENTRY_STATEMENT || request->action == ENTRY_EXECUTE;
@@ -158,7 +160,8 @@
 check_request (struct entry_call *call, const struct entry_request *request)
 {
   call->action = request->action;
-  if (lacks_statement (request) || request->param_count > PEER_PARAM_LIMIT)
+  if (is_statement_missing (request)
+      || request->param_count > PEER_PARAM_LIMIT)
     return REASON_UNKNOWN_TARGET;
   if (request->statement != NULL
       && strnlen (request->statement, PEER_TEXT_LIMIT) == PEER_TEXT_LIMIT)
@@ -167,7 +170,7 @@
   if (request->action == ENTRY_LOOKUP && !has_id)
     return REASON_UNKNOWN_TARGET;
   if (!has_id)
-    make_request_id (call);
+    generate_request_id (call);
   else if (!text_copy (call->request_id, sizeof call->request_id,
                        request->request_id))
     return REASON_UNKNOWN_TARGET;
@@ -175,8 +178,9 @@
   return REASON_NONE;
 }
 
+/* Returns whether the request does not belong to an open transaction.  */
 static bool
-is_new_work (enum entry_action action)
+is_new_request (enum entry_action action)
 {
   return action == ENTRY_STATEMENT || action == ENTRY_BEGIN
          || action == ENTRY_LOOKUP;
@@ -198,15 +202,15 @@
   reason = check_caller (call, request, service);
   if (reason != REASON_NONE)
     return reason;
-  if (entry->draining && is_new_work (request->action))
+  if (entry->draining && is_new_request (request->action))
     return REASON_DRAINING;
   call->kind = *view_kind (service, request->kind ? request->kind : "");
   clk_ms deadline_ms = request->deadline_ms > 0 ? request->deadline_ms
                                                 : call->kind.deadline_ms;
   call->deadline_ms = call->started_ms + deadline_ms;
-  if (is_new_work (request->action))
+  if (is_new_request (request->action))
     reason = find_database (call, request, service);
-  else if (!call_open_handle (call, request->transaction))
+  else if (!call_decode_handle (call, request->transaction))
     reason = REASON_BAD_TRANSACTION;
   if (reason == REASON_NONE)
     reason = check_load (call, service);
--- a/src/core/entry_tx.c
+++ b/src/core/entry_tx.c
@@ -7,6 +7,7 @@
 #include "core/entry_call.h"
 #include "kernel/mem.h"
 
+/* A transaction handle before and after seal_write.  */
 #define HANDLE_BYTES (NAME_BYTES + PATH_BYTES + 64)
 #define HANDLE_TEXT_BYTES 1024
 
@@ -20,8 +21,8 @@
 }
 
 static bool
-print_handle (const struct entry_call *call, uint64_t id, char *out,
-              size_t out_bytes)
+encode_handle (const struct entry_call *call, uint64_t id, char *out,
+               size_t out_bytes)
 {
   const struct seal_context context = handle_context (call);
   char text[HANDLE_BYTES];
@@ -32,7 +33,7 @@
 }
 
 bool
-call_open_handle (struct entry_call *call, const char *handle)
+call_decode_handle (struct entry_call *call, const char *handle)
 {
   const struct seal_context context = handle_context (call);
   uint8_t text[SEAL_DATA_BYTES + 1];
@@ -65,17 +66,17 @@
 }
 
 static void
-drop_tx (struct entry *entry, struct entry_tx *tx)
+untrack_tx (struct entry *entry, struct entry_tx *tx)
 {
   DL_DELETE (entry->transactions, tx);
   entry->tx_count--;
   free (tx);
 }
 
-/* Sends heartbeats for transaction ID at HOST from now on; a caller may
-   continue a transaction through another host than it began at.  */
+/* Adds transaction ID of the call's gateway to the heartbeats.  A caller may
+   continue a transaction at another host than the one that began it.  */
 static void
-keep_tx (struct entry_call *call, uint64_t id)
+track_tx (struct entry_call *call, uint64_t id)
 {
   struct entry *entry = call->entry;
   if (find_tx (entry, id) != NULL)
@@ -102,35 +103,35 @@
       call_fail (call, OUTCOME_NOT_RUN, REASON_BAD_TRANSACTION);
       return;
     }
-  keep_tx (call, call->tx_id);
+  track_tx (call, call->tx_id);
   call_send_tx (call, &host->address);
 }
 
 void
-call_begun (struct entry_call *call, const peer_executed *executed)
+call_tx_begun (struct entry_call *call, const peer_executed *executed)
 {
   char handle[HANDLE_TEXT_BYTES];
   struct call_answer answer
       = { .outcome = OUTCOME_DONE, .transaction = handle };
-  if (!print_handle (call, executed->transaction, handle, sizeof handle))
+  if (!encode_handle (call, executed->transaction, handle, sizeof handle))
     {
       call_fail (call, OUTCOME_NOT_RUN, REASON_OVERLOAD);
       return;
     }
-  keep_tx (call, executed->transaction);
+  track_tx (call, executed->transaction);
   call_finish (call, &answer);
 }
 
-/* Ends the heartbeats once the transaction is over.  */
 void
-call_tx_over (struct entry_call *call)
+call_tx_ended (struct entry_call *call)
 {
   struct entry_tx *tx = find_tx (call->entry, call->tx_id);
   if (tx != NULL && call->action != ENTRY_EXECUTE)
-    drop_tx (call->entry, tx);
+    untrack_tx (call->entry, tx);
 }
 
-/* The gateway's answer lists what is still open there.  */
+/* Removes the transactions that the gateway no longer lists as open.  One
+   that was not sent in a heartbeat yet may be newer than the reply.  */
 static void
 on_heartbeat (void *arg, enum peer_status status, const peer_message *reply)
 {
@@ -145,7 +146,7 @@
     for (u_int i = 0; i < answer->transactions.transactions_len; i++)
       open = open || answer->transactions.transactions_val[i] == tx->id;
     if (!open && tx->announced)
-      drop_tx (entry, tx);
+      untrack_tx (entry, tx);
   }
 }
 
@@ -171,16 +172,17 @@
   free (ids);
 }
 
-/* Whether an earlier transaction of the list has the same gateway.  */
+/* Returns whether a transaction before TARGET in the list has the same
+   gateway.  */
 static bool
-is_repeated (const struct entry *entry, const struct entry_tx *of)
+is_host_repeated (const struct entry *entry, const struct entry_tx *target)
 {
   const struct entry_tx *tx;
   DL_FOREACH (entry->transactions, tx)
   {
-    if (tx == of)
+    if (tx == target)
       return false;
-    if (strcmp (tx->host, of->host) == 0)
+    if (strcmp (tx->host, target->host) == 0)
       return true;
   }
   return false;
@@ -193,7 +195,7 @@
   struct entry_tx *tx;
   DL_FOREACH (entry->transactions, tx)
   {
-    if (!is_repeated (entry, tx))
+    if (!is_host_repeated (entry, tx))
       send_heartbeat (entry, tx->host);
   }
   kernel_timer_set (entry->base.kernel, &entry->heartbeat_timer,
@@ -214,5 +216,5 @@
 {
   kernel_timer_cancel (entry->base.kernel, &entry->heartbeat_timer);
   while (entry->transactions != NULL)
-    drop_tx (entry, entry->transactions);
+    untrack_tx (entry, entry->transactions);
 }
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -1,35 +1,35 @@
 #include "core/retry_budget.h"
 
-#define ONE_RETRY ((int64_t)100)
-#define MAX_SHIFT 10
+#define RETRY_COST_PERCENT ((int64_t)100)
+#define BACKOFF_MAX_SHIFT 10
 
 void
 retry_budget_init (struct retry_budget *budget)
 {
-  budget->percent = RETRY_BURST * ONE_RETRY;
+  budget->percent = RETRY_BURST * RETRY_COST_PERCENT;
 }
 
 void
 retry_budget_earn (struct retry_budget *budget)
 {
   budget->percent += RETRY_SHARE_PERCENT;
-  if (budget->percent > RETRY_BURST * ONE_RETRY)
-    budget->percent = RETRY_BURST * ONE_RETRY;
+  if (budget->percent > RETRY_BURST * RETRY_COST_PERCENT)
+    budget->percent = RETRY_BURST * RETRY_COST_PERCENT;
 }
 
 bool
 retry_budget_take (struct retry_budget *budget)
 {
-  if (budget->percent < ONE_RETRY)
+  if (budget->percent < RETRY_COST_PERCENT)
     return false;
-  budget->percent -= ONE_RETRY;
+  budget->percent -= RETRY_COST_PERCENT;
   return true;
 }
 
 clk_ms
 retry_delay (struct rng *rng, uint32_t attempt)
 {
-  uint32_t shift = attempt < MAX_SHIFT ? attempt : MAX_SHIFT;
+  uint32_t shift = attempt < BACKOFF_MAX_SHIFT ? attempt : BACKOFF_MAX_SHIFT;
   clk_ms limit_ms = (clk_ms)RETRY_BASE_MS << shift;
   if (limit_ms > RETRY_CAP_MS)
     limit_ms = RETRY_CAP_MS;
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -1,7 +1,8 @@
-/* retry_budget - limits retries to a share of fresh traffic.
+/* retry_budget - limits retries to a share of new requests.
 
-   Each fresh request adds a part of a retry to the budget, up to a burst;
-   each retry takes one.  So retries cannot multiply an overload.  */
+   Each new request adds RETRY_SHARE_PERCENT of a retry to the budget, up to
+   RETRY_BURST retries; each retry takes a whole one.  This keeps retries from
+   multiplying an overload.  */
 
 #ifndef SAVORYWAY_CORE_RETRY_BUDGET_H
 #define SAVORYWAY_CORE_RETRY_BUDGET_H
@@ -12,25 +13,30 @@
 #include "kernel/rng.h"
 
 #define RETRY_SHARE_PERCENT 10
-#define RETRY_BURST 10
+#define RETRY_BURST 10 /* retries */
+
+/* Limit of the delay before the first retry, and before any.  */
 #define RETRY_BASE_MS 5
 #define RETRY_CAP_MS 500
 
 struct retry_budget
 {
-  int64_t percent; /* of one retry */
+  int64_t percent; /* available; 100 for one retry */
 };
 
+/* Starts BUDGET with RETRY_BURST retries.  */
 void retry_budget_init (struct retry_budget *budget);
 
-/* Notes a fresh request.  */
+/* Adds the share of one new request.  */
 void retry_budget_earn (struct retry_budget *budget);
 
-/* Takes one retry; false if there is none left.  */
+/* Takes one retry from the budget.  Returns false if less than one is
+   left.  */
 bool retry_budget_take (struct retry_budget *budget);
 
-/* Returns the delay before retry number ATTEMPT, from 0: uniform between 0
-   and an exponentially growing limit (full jitter).  */
+/* Returns the delay before retry ATTEMPT, counted from 0: exponential backoff
+   with full jitter, uniform from 0 to RETRY_BASE_MS << ATTEMPT, and at most
+   RETRY_CAP_MS.  */
 clk_ms retry_delay (struct rng *rng, uint32_t attempt);
 
 #endif
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -9,23 +9,38 @@
 #include "kernel/mutant.h"
 
 #define US_PER_MS 1000
-#define REMOTE_US 3000
-#define PRIMARY_US 50000
-#define OUT_OF_ROTATION_US 1000000
-#define DOWN_US 2000000
-#define JITTER_US 500
-#define QUEUE_RECENT_MS 100
-#define LEAST_WAIT_MS 2
-#define DOWN_BASE_MS 200
-#define DOWN_MAX_SHIFT 4
-#define LATENCY_SHARE 8
-#define FIRST_SAMPLES 8
+
+/* Added to the cost.  The steps keep the order: other failure domain, primary,
+   out of rotation, failing.  */
+#define REMOTE_PENALTY_US 3000
+#define PRIMARY_PENALTY_US 50000
+#define OUT_OF_ROTATION_PENALTY_US 1000000
+#define DOWN_PENALTY_US 2000000
+
+/* Random part of the cost, spreads reads over equal instances.  */
+#define COST_JITTER_US 500
+
+/* Age up to which a reported queue length is used.  */
+#define QUEUE_MAX_AGE_MS 100
+
+/* Shortest expected wait for a replica behind the session's position.  */
+#define MIN_REPLAY_WAIT_MS 2
+
+/* After a failure an instance is avoided for the base delay, doubled with
+   each further failure up to DOWN_BACKOFF_MAX_SHIFT times.  */
+#define DOWN_BACKOFF_BASE_MS 200
+#define DOWN_BACKOFF_MAX_SHIFT 4
+
+/* Latencies are moving averages in which a sample counts 1/EWMA_DIVISOR; the
+   first EWMA_WARMUP_SAMPLES form an arithmetic mean.  */
+#define EWMA_DIVISOR 8
+#define EWMA_WARMUP_SAMPLES 8
 
 struct router_state *
 router_state_of (struct router *router, const char *instance)
 {
-  return router_state_take (&router->states, instance,
-                            kernel_now (router->base.kernel));
+  return router_states_instance (&router->states, instance,
+                                 kernel_now (router->base.kernel));
 }
 
 static bool
@@ -37,14 +52,16 @@
   return false;
 }
 
-/* How long a replica is expected to need to reach the session's position.  */
+/* Returns the expected time until the replica has replayed the session's
+   position.  */
 static clk_ms
 expected_replay_ms (const struct router_state *state,
                     const struct router_query *query)
 {
   if (state->replayed_lsn >= query->position.lsn || !state->known)
     return 0;
-  return state->lag_ms > LEAST_WAIT_MS ? state->lag_ms : LEAST_WAIT_MS;
+  return state->lag_ms > MIN_REPLAY_WAIT_MS ? state->lag_ms
+                                            : MIN_REPLAY_WAIT_MS;
 }
 
 static int64_t
@@ -52,7 +69,7 @@
                    const struct view_database *database, clk_ms now_ms)
 {
   uint32_t queued = state->outstanding;
-  bool recent = now_ms - state->observed_ms < QUEUE_RECENT_MS;
+  bool recent = now_ms - state->observed_ms < QUEUE_MAX_AGE_MS;
   if (recent && state->queued > queued)
     queued = state->queued;
   int64_t each_us = state->latency_us > 0
@@ -85,14 +102,14 @@
   rating.why = rating.wait_ms > 0 ? "replica, waits for replay" : "replica";
   if (now_ms < state->ejected_until_ms)
     {
-      rating.cost_us += OUT_OF_ROTATION_US;
+      rating.cost_us += OUT_OF_ROTATION_PENALTY_US;
       rating.why = "ejected, slow";
     }
   else if (state->share < SHARE_FULL
            && rng_below (kernel_rng (router->base.kernel), SHARE_FULL)
                   >= state->share)
     {
-      rating.cost_us += OUT_OF_ROTATION_US;
+      rating.cost_us += OUT_OF_ROTATION_PENALTY_US;
       rating.why = "partly out of rotation";
     }
   return rating;
@@ -115,29 +132,29 @@
   if (query->freshness == FRESHNESS_STRONG && !(rating.is_primary && active))
     return unusable (rating, "not the primary");
   rating.cost_us = expected_queue_us (state, query->database, now_ms);
-  rating.has_slot = now_ms - state->observed_ms < QUEUE_RECENT_MS
+  rating.has_slot = now_ms - state->observed_ms < QUEUE_MAX_AGE_MS
                     && state->queued < query->database->slots
                     && state->outstanding < query->database->slots;
   if (strcmp (instance->domain, members_self (router->members)->domain) != 0)
-    rating.cost_us += REMOTE_US;
+    rating.cost_us += REMOTE_PENALTY_US;
   if (now_ms < state->down_until_ms)
-    rating.cost_us += DOWN_US;
+    rating.cost_us += DOWN_PENALTY_US;
   if (!rating.is_primary)
     return rate_replica (router, query, rating, state);
-  rating.cost_us += PRIMARY_US;
+  rating.cost_us += PRIMARY_PENALTY_US;
   rating.why = "primary";
   return rating;
 }
 
 static bool
-pick_plain (struct router *router, const struct router_query *query,
-            struct router_rating *choice)
+pick_round_robin (struct router *router, const struct router_query *query,
+                  struct router_rating *choice)
 {
   size_t count = query->database->instance_count;
   for (size_t i = 0; i < count; i++)
     {
       const struct view_instance *instance
-          = &query->database->instances[router->turn++ % count];
+          = &query->database->instances[router->next_index++ % count];
       bool is_primary
           = query->record != NULL
             && strcmp (query->record->primary, instance->name) == 0;
@@ -153,8 +170,8 @@
 }
 
 static bool
-pick_full (struct router *router, const struct router_query *query,
-           struct router_rating *choice)
+pick_by_cost (struct router *router, const struct router_query *query,
+              struct router_rating *choice)
 {
   struct rng *rng = kernel_rng (router->base.kernel);
   choice->usable = false;
@@ -164,7 +181,7 @@
           = router_rate (router, query, &query->database->instances[i]);
       if (!rating.usable)
         continue;
-      rating.cost_us += (int64_t)rng_below (rng, JITTER_US);
+      rating.cost_us += (int64_t)rng_below (rng, COST_JITTER_US);
       if (!choice->usable || rating.cost_us < choice->cost_us)
         *choice = rating;
     }
@@ -176,8 +193,8 @@
              struct router_rating *choice)
 {
   bool plain = gateway_policy (router->gateway) == POLICY_PLAIN;
-  bool found = plain ? pick_plain (router, query, choice)
-                     : pick_full (router, query, choice);
+  bool found = plain ? pick_round_robin (router, query, choice)
+                     : pick_by_cost (router, query, choice);
   log_event (kernel_log (router->base.kernel), LOG_INFO, "route",
              LOG_S ("database", query->database->name),
              LOG_S ("instance", found ? choice->instance->name : NULL),
@@ -192,18 +209,18 @@
 }
 
 void
-router_sent (struct router *router, const char *instance)
+router_request_sent (struct router *router, const char *instance)
 {
   struct router_state *state = router_state_of (router, instance);
   state->outstanding++;
   state->sent_ms = kernel_now (router->base.kernel);
 }
 
-/* Takes the time in queue out of LATENCY_MS, as far as the instance's last
-   report tells, so that a busy instance is not taken for a slow one.  */
+/* Returns LATENCY_MS without the estimated queueing time, based on the last
+   reported queue length, so that a busy instance does not count as slow.  */
 static int64_t
-without_queue_us (struct router *router, const char *name,
-                  const struct router_state *state, clk_ms latency_ms)
+service_time_us (struct router *router, const char *name,
+                 const struct router_state *state, clk_ms latency_ms)
 {
   const struct view_database *database = view_database (router->view, name);
   int64_t slots = database != NULL ? database->slots : 1;
@@ -212,36 +229,37 @@
 }
 
 static void
-note_latency (struct router *router, const char *database,
-              struct router_state *state, const char *kind, clk_ms latency_ms)
+record_latency (struct router *router, const char *database,
+                struct router_state *state, const char *kind,
+                clk_ms latency_ms)
 {
-  struct router_database *known
-      = router_database_take (&router->states, database);
-  struct cost_kind *cost = cost_find (&known->latencies, kind, latency_ms);
-  int64_t latency_us = without_queue_us (router, database, state, latency_ms);
-  known->used_ms = kernel_now (router->base.kernel);
-  cost_observe (&known->latencies, cost, latency_us / US_PER_MS);
+  struct router_database *stats
+      = router_states_database (&router->states, database);
+  struct cost_kind *cost = cost_find (&stats->latencies, kind, latency_ms);
+  int64_t latency_us = service_time_us (router, database, state, latency_ms);
+  stats->used_ms = kernel_now (router->base.kernel);
+  cost_observe (&stats->latencies, cost, latency_us / US_PER_MS);
   int64_t typical_us = cost->mean_us > 0 ? cost->mean_us : 1;
-  int64_t share = LATENCY_SHARE;
-  if (state->samples < FIRST_SAMPLES)
-    share = (int64_t)state->samples + 1;
+  int64_t divisor = EWMA_DIVISOR;
+  if (state->samples < EWMA_WARMUP_SAMPLES)
+    divisor = (int64_t)state->samples + 1;
   state->samples++;
-  state->latency_us += (latency_us - state->latency_us) / share;
+  state->latency_us += (latency_us - state->latency_us) / divisor;
   state->ratio
-      += (latency_us * SHARE_FULL / typical_us - state->ratio) / share;
+      += (latency_us * SHARE_FULL / typical_us - state->ratio) / divisor;
 }
 
-/* Ejects STATE if it is much slower than the quickest replica, unless half
-   of the replicas are out already.  */
+/* Ejects the replica STATE if it is much slower than the fastest one, unless
+   more than half of the replicas would then be ejected.  */
 static void
-check_slow (struct router *router, const char *database_name,
-            struct router_state *state)
+eject_if_slow (struct router *router, const char *database_name,
+               struct router_state *state)
 {
   struct view_database *database = view_database (router->view, database_name);
   clk_ms now_ms = kernel_now (router->base.kernel);
   struct router_state *best = NULL;
   size_t replicas = 0;
-  size_t out = 0;
+  size_t ejected = 0;
   if (database == NULL || state->primary)
     return;
   for (size_t i = 0; i < database->instance_count; i++)
@@ -251,13 +269,13 @@
       if (other->primary)
         continue;
       replicas++;
-      out += now_ms < other->ejected_until_ms;
+      ejected += now_ms < other->ejected_until_ms;
       if (best == NULL || other->ratio < best->ratio)
         best = other;
     }
   if (best == NULL || !router_state_is_slow (state, best))
     return;
-  if (out + 1 > replicas / 2)
+  if (ejected + 1 > replicas / 2)
     {
       metrics_count (kernel_metrics (router->base.kernel),
                      "router_ejection_limit_total");
@@ -274,43 +292,45 @@
 }
 
 static void
-note_failure (struct router *router, struct router_state *state)
+record_failure (struct router *router, struct router_state *state)
 {
-  uint32_t shift
-      = state->failures < DOWN_MAX_SHIFT ? state->failures : DOWN_MAX_SHIFT;
+  uint32_t shift = state->failures < DOWN_BACKOFF_MAX_SHIFT
+                       ? state->failures
+                       : DOWN_BACKOFF_MAX_SHIFT;
   state->failures++;
-  state->down_until_ms
-      = kernel_now (router->base.kernel) + ((clk_ms)DOWN_BASE_MS << shift);
+  state->down_until_ms = kernel_now (router->base.kernel)
+                         + ((clk_ms)DOWN_BACKOFF_BASE_MS << shift);
 }
 
 void
-router_done (struct router *router, const char *database, const char *instance,
-             const char *kind, clk_ms latency_ms, enum router_result result)
+router_request_done (struct router *router, const char *database,
+                     const char *instance, const char *kind, clk_ms latency_ms,
+                     enum router_result result)
 {
   struct router_state *state = router_state_of (router, instance);
   if (state->outstanding > 0)
     state->outstanding--;
   if (result == ROUTER_FAILED)
     {
-      note_failure (router, state);
+      record_failure (router, state);
       return;
     }
   state->failures = 0;
   state->down_until_ms = 0;
   if (result != ROUTER_SERVED || kind == NULL)
     return;
-  note_latency (router, database, state, kind, latency_ms);
-  check_slow (router, database, state);
+  record_latency (router, database, state, kind, latency_ms);
+  eject_if_slow (router, database, state);
 }
 
 clk_ms
 router_typical_ms (struct router *router, const char *database,
                    const char *kind)
 {
-  struct router_database *known
-      = router_database_take (&router->states, database);
+  struct router_database *stats
+      = router_states_database (&router->states, database);
   struct cost_kind *cost = NULL;
-  HASH_FIND_STR (known->latencies.kinds, kind, cost);
+  HASH_FIND_STR (stats->latencies.kinds, kind, cost);
   return cost != NULL ? cost->mean_us / US_PER_MS : 0;
 }
 
@@ -328,7 +348,7 @@
   state->lag_ms = report->lag_ms;
   state->queued = report->queued;
   state->observed_ms = now_ms;
-  router_state_follow (state, now_ms);
+  router_state_update_share (state, now_ms);
 }
 
 static void
--- a/src/core/router_probe.c
+++ b/src/core/router_probe.c
@@ -1,11 +1,16 @@
 #include "core/router_impl.h"
 
+/* Interval and timeout of probes, and age from which a report is renewed.  */
 #define PROBE_MS 1000
-#define PROBE_USED_MS 10000
-#define PROBE_LIMIT 4 /* each PROBE_MS */
+
+/* Only databases with a read served within this time are probed.  */
+#define PROBE_DATABASE_USED_MS 10000
+
+/* Probes sent by this host in each PROBE_MS.  */
+#define PROBES_PER_ROUND 4
 
 static void
-on_probed (void *arg, enum peer_status status, const peer_message *reply)
+on_probe_reply (void *arg, enum peer_status status, const peer_message *reply)
 {
   struct router *router = arg;
   if (status != PEER_OK || reply->body.kind != PEER_KIND_HEARTBEAT)
@@ -16,17 +21,17 @@
 }
 
 static void
-probe (struct router *router, const struct view_instance *instance)
+send_probe (struct router *router, const struct view_instance *instance)
 {
   const struct member *hosts[GATEWAY_HOSTS];
   peer_body body = { .kind = PEER_KIND_HEARTBEAT };
   if (gateway_hosts (router->members, instance, hosts) > 0)
-    peers_call (router->peers, &hosts[0]->address, &body, PROBE_MS, on_probed,
-                router);
+    peers_call (router->peers, &hosts[0]->address, &body, PROBE_MS,
+                on_probe_reply, router);
 }
 
-/* Whether STATE gets little traffic from here because it was behind, so
-   that nothing else would show that it is back.  */
+/* Returns whether the instance lagged and has not reported since.  It gets
+   little or no traffic, so without a probe its recovery goes unnoticed.  */
 static bool
 needs_probe (const struct router_state *state, clk_ms now_ms)
 {
@@ -36,19 +41,19 @@
 }
 
 static void
-probe_database (struct router *router, const char *name, uint32_t *left)
+probe_database (struct router *router, const char *name, uint32_t *budget)
 {
   struct view_database *database = view_database (router->view, name);
   clk_ms now_ms = kernel_now (router->base.kernel);
   if (database == NULL)
     return;
-  for (size_t i = 0; i<database->instance_count && * left> 0; i++)
+  for (size_t i = 0; i<database->instance_count && * budget> 0; i++)
     {
       const struct view_instance *instance = &database->instances[i];
       if (!needs_probe (router_state_of (router, instance->name), now_ms))
         continue;
-      probe (router, instance);
-      (*left)--;
+      send_probe (router, instance);
+      (*budget)--;
     }
 }
 
@@ -57,13 +62,14 @@
 {
   struct router *router = arg;
   clk_ms now_ms = kernel_now (router->base.kernel);
-  uint32_t left = PROBE_LIMIT;
-  struct router_database *known;
+  uint32_t budget = PROBES_PER_ROUND;
+  struct router_database *database;
   kernel_timer_set (router->base.kernel, &router->probe_timer,
                     now_ms + PROBE_MS);
-  for (known = router->states.databases; known != NULL; known = known->hh.next)
-    if (now_ms - known->used_ms <= PROBE_USED_MS)
-      probe_database (router, known->name, &left);
+  for (database = router->states.databases; database != NULL;
+       database = database->hh.next)
+    if (now_ms - database->used_ms <= PROBE_DATABASE_USED_MS)
+      probe_database (router, database->name, &budget);
 }
 
 void
--- a/src/core/router_state.c
+++ b/src/core/router_state.c
@@ -5,20 +5,33 @@
 
 #include "kernel/mem.h"
 
-#define FAR_BEHIND_MS 5000
+/* Lag above which a replica leaves the rotation.  */
+#define ROTATION_MAX_LAG_MS 5000
+
+/* Change of the share for each SHARE_STEP_MS, in 1/SHARE_FULL.  One update
+   covers at most SHARE_STEP_MS.  */
 #define SHARE_PER_S 200
 #define SHARE_STEP_MS 1000
-#define SHARE_RETURN 20
-#define SLOW_AGAIN_SAMPLES 1
+
+/* Share after an ejection, in 1/SHARE_FULL.  */
+#define SHARE_AFTER_EJECTION 20
+
+/* A replica is slow if its latency ratio is above SLOW_RATIO times that of the
+   fastest one, and its latency higher by more than SLOW_MIN_DIFFERENCE_US.
+   SLOW_SAMPLES are the samples needed for this decision.  */
+#define SLOW_SAMPLES_AFTER_EJECTION 1
 #define SLOW_RATIO 3
 #define SLOW_SAMPLES 8
-#define SLOW_LEAST_US 5000
+#define SLOW_MIN_DIFFERENCE_US 5000
+
+/* Duration of an ejection, doubled with each repetition up to EJECT_MAX_SHIFT
+   times.  */
 #define EJECT_MS 5000
 #define EJECT_MAX_SHIFT 3
 
 struct router_state *
-router_state_take (struct router_states *states, const char *name,
-                   clk_ms now_ms)
+router_states_instance (struct router_states *states, const char *name,
+                        clk_ms now_ms)
 {
   struct router_state *state = NULL;
   HASH_FIND_STR (states->instances, name, state);
@@ -40,7 +53,7 @@
 }
 
 struct router_database *
-router_database_take (struct router_states *states, const char *name)
+router_states_database (struct router_states *states, const char *name)
 {
   struct router_database *database = NULL;
   HASH_FIND_STR (states->databases, name, database);
@@ -73,9 +86,9 @@
   }
 }
 
-/* How much of SHARE_FULL the share may move within SPAN_MS.  After an
-   ejection it starts low and doubles each second, so that a few answers
-   decide whether the instance is still slow.  */
+/* Returns the change of the share in SPAN_MS.  After an ejection the share
+   starts low and doubles each second, so that only a few requests are sent
+   until it is known whether the instance is still slow.  */
 static uint32_t
 share_step (const struct router_state *state, clk_ms span_ms)
 {
@@ -86,7 +99,7 @@
 }
 
 void
-router_state_follow (struct router_state *state, clk_ms now_ms)
+router_state_update_share (struct router_state *state, clk_ms now_ms)
 {
   clk_ms span_ms = now_ms - state->share_ms;
   if (now_ms < state->ejected_until_ms)
@@ -97,8 +110,8 @@
   if (step == 0)
     return;
   state->share_ms = now_ms;
-  bool far = !state->primary && state->lag_ms > FAR_BEHIND_MS;
-  if (far)
+  bool lagging = !state->primary && state->lag_ms > ROTATION_MAX_LAG_MS;
+  if (lagging)
     {
       state->share = state->share > step ? state->share - step : 0;
       return;
@@ -114,11 +127,12 @@
 router_state_is_slow (const struct router_state *state,
                       const struct router_state *best)
 {
-  uint32_t needed = state->ejections > 0 ? SLOW_AGAIN_SAMPLES : SLOW_SAMPLES;
+  uint32_t needed
+      = state->ejections > 0 ? SLOW_SAMPLES_AFTER_EJECTION : SLOW_SAMPLES;
   if (state->samples < needed || best->samples < SLOW_SAMPLES)
     return false;
   return state->ratio > SLOW_RATIO * best->ratio
-         && state->latency_us - best->latency_us > SLOW_LEAST_US;
+         && state->latency_us - best->latency_us > SLOW_MIN_DIFFERENCE_US;
 }
 
 void
@@ -128,7 +142,7 @@
                                                       : EJECT_MAX_SHIFT;
   state->ejections++;
   state->ejected_until_ms = now_ms + ((clk_ms)EJECT_MS << shift);
-  state->share = SHARE_RETURN;
+  state->share = SHARE_AFTER_EJECTION;
   state->share_ms = state->ejected_until_ms;
   state->samples = 0;
   state->ratio = SHARE_FULL;
--- a/src/core/session.c
+++ b/src/core/session.c
@@ -3,8 +3,10 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define VERSION 1
-#define ENTRY_BYTES 24
+/* A token holds TOKEN_VERSION in one byte, then for each database the hash of
+   its name, the term and the LSN as little-endian 64-bit numbers.  */
+#define TOKEN_VERSION 1
+#define ENCODED_ENTRY_BYTES 24
 
 static const char purpose[] = "session";
 
@@ -31,16 +33,18 @@
 }
 
 static bool
-decode (struct session *session, const uint8_t *data, size_t data_bytes)
+decode_entries (struct session *session, const uint8_t *data,
+                size_t data_bytes)
 {
-  if (data_bytes < 1 || data[0] != VERSION)
+  if (data_bytes < 1 || data[0] != TOKEN_VERSION)
     return false;
-  size_t count = (data_bytes - 1) / ENTRY_BYTES;
-  if (1 + count * ENTRY_BYTES != data_bytes || count > SESSION_DATABASES)
+  size_t count = (data_bytes - 1) / ENCODED_ENTRY_BYTES;
+  if (1 + count * ENCODED_ENTRY_BYTES != data_bytes
+      || count > SESSION_DATABASES)
     return false;
   for (size_t i = 0; i < count; i++)
     {
-      const uint8_t *in = data + 1 + i * ENTRY_BYTES;
+      const uint8_t *in = data + 1 + i * ENCODED_ENTRY_BYTES;
       session->entries[i].database = get_u64 (in);
       session->entries[i].position.term = get_u64 (in + 8);
       session->entries[i].position.lsn = get_u64 (in + 16);
@@ -62,7 +66,7 @@
   if (token == NULL || *token == '\0')
     return true;
   return seal_read (&context, token, data, &data_bytes)
-         && decode (session, data, data_bytes);
+         && decode_entries (session, data, data_bytes);
 }
 
 bool
@@ -73,21 +77,21 @@
   const struct seal_context context = {
     .key = key, .purpose = purpose, .service = service, .caller = caller
   };
-  uint8_t data[1 + SESSION_DATABASES * ENTRY_BYTES];
-  data[0] = VERSION;
+  uint8_t data[1 + SESSION_DATABASES * ENCODED_ENTRY_BYTES];
+  data[0] = TOKEN_VERSION;
   for (size_t i = 0; i < session->count; i++)
     {
-      uint8_t *to = data + 1 + i * ENTRY_BYTES;
+      uint8_t *to = data + 1 + i * ENCODED_ENTRY_BYTES;
       put_u64 (to, session->entries[i].database);
       put_u64 (to + 8, session->entries[i].position.term);
       put_u64 (to + 16, session->entries[i].position.lsn);
     }
-  return seal_write (&context, data, 1 + session->count * ENTRY_BYTES, out,
-                     out_bytes);
+  return seal_write (&context, data, 1 + session->count * ENCODED_ENTRY_BYTES,
+                     out, out_bytes);
 }
 
 static size_t
-find (const struct session *session, uint64_t database)
+find_entry (const struct session *session, uint64_t database)
 {
   for (size_t i = 0; i < session->count; i++)
     if (session->entries[i].database == database)
@@ -98,17 +102,17 @@
 struct position
 session_position (const struct session *session, const char *database)
 {
-  size_t i = find (session, database_hash (database));
+  size_t i = find_entry (session, database_hash (database));
   if (i == session->count)
     return (struct position){ 0 };
   return session->entries[i].position;
 }
 
 bool
-session_has_room (const struct session *session, const char *database)
+session_has_capacity (const struct session *session, const char *database)
 {
   return session->count < SESSION_DATABASES
-         || find (session, database_hash (database)) < session->count;
+         || find_entry (session, database_hash (database)) < session->count;
 }
 
 static bool
@@ -122,7 +126,7 @@
              struct position position)
 {
   uint64_t hash = database_hash (database);
-  size_t i = find (session, hash);
+  size_t i = find_entry (session, hash);
   if (position.term == 0 || i == SESSION_DATABASES)
     return;
   if (i == session->count)
--- a/src/core/session.h
+++ b/src/core/session.h
@@ -1,10 +1,12 @@
-/* session - what a caller's session has seen, carried in its token.
+/* session - positions of a caller's session, encoded in its token.
 
-   Hosts keep no session state.  A token holds, for each database that the
-   session has used, the highest position it has written or read.  A token is
-   bound to one service and caller.  It holds at most SESSION_DATABASES; a
-   request for one more database is refused rather than an earlier position
-   forgotten.  */
+   Hosts store no session state.  The token holds the highest position that
+   the session has read or written in each database.  It is authenticated and
+   bound to one service and caller.
+
+   A token holds up to SESSION_DATABASES positions.  A request for a further
+   database is refused, since dropping a position would lose the session's
+   consistency in that database.  */
 
 #ifndef SAVORYWAY_CORE_SESSION_H
 #define SAVORYWAY_CORE_SESSION_H
@@ -15,11 +17,13 @@
 #include "core/types.h"
 
 #define TOKEN_KEY_BYTES SEAL_KEY_BYTES
+
+/* Databases in one token.  */
 #define SESSION_DATABASES 48
 
 struct session_entry
 {
-  uint64_t database; /* hash of its name */
+  uint64_t database; /* XXH64 of its name */
   struct position position;
 };
 
@@ -29,24 +33,28 @@
   struct session_entry entries[SESSION_DATABASES];
 };
 
-/* Reads TOKEN, of SERVICE and CALLER; NULL or "" is an empty session.
-   Returns false if the token is malformed, altered or another's.  */
+/* Decodes TOKEN of SERVICE and CALLER into SESSION.  NULL or "" gives an empty
+   session.  Returns false if the token is malformed, was altered or belongs to
+   another service or caller.  */
 bool session_open (struct session *session, const uint8_t *key,
                    const char *service, const char *caller, const char *token);
 
-/* Writes the token of SESSION to OUT, of TOKEN_LIMIT_BYTES (entry.h).  */
+/* Encodes SESSION as a token in OUT; TOKEN_LIMIT_BYTES (entry.h) suffice.
+   Returns false if OUT_BYTES do not.  */
 bool session_print (const struct session *session, const uint8_t *key,
                     const char *service, const char *caller, char *out,
                     size_t out_bytes);
 
-/* Returns the position seen of DATABASE, {0, 0} if none.  */
+/* Returns the session's position in DATABASE, {0, 0} if none.  */
 struct position session_position (const struct session *session,
                                   const char *database);
 
-/* Whether the session can take in positions of DATABASE.  */
-bool session_has_room (const struct session *session, const char *database);
+/* Returns whether the session holds, or can add, a position of DATABASE.  */
+bool session_has_capacity (const struct session *session,
+                           const char *database);
 
-/* Notes that the session has seen POSITION; an earlier one is ignored.  */
+/* Raises the session's position in DATABASE to POSITION.  Ignored if it is not
+   later than the present one.  */
 void session_see (struct session *session, const char *database,
                   struct position position);
 
--- a/tests/unit/test_entry.c
+++ b/tests/unit/test_entry.c
@@ -2,7 +2,7 @@
 #include "sim_rig.h"
 #include "unit.h"
 
-#define WARM_MS 500
+#define WARM_UP_MS 500
 
 static const char kinds[]
     = "{\"release\": {\"write\": true, \"repeatable\": false, \"ack\": "
@@ -35,7 +35,7 @@
           .kinds = kinds,
           .log_level = getenv ("RIG_LOG") ? LOG_INFO : -1 };
   rig = rig_new (&options);
-  rig_run (rig, WARM_MS);
+  rig_run (rig, WARM_UP_MS);
 }
 
 static void
@@ -44,7 +44,7 @@
   rig_free (rig);
 }
 
-/* Sends a request and waits up to WAIT_MS for the given outcome.  */
+/* Sends a request, waits up to WAIT_MS and checks the outcome.  */
 #define EXPECT_OF(send, expected, wait_ms, host, request, ...)                \
   do                                                                          \
     {                                                                         \
@@ -56,7 +56,7 @@
 #define EXPECT(...) EXPECT_OF (rig_submit, __VA_ARGS__)
 #define EXPECT_ACT(...) EXPECT_OF (rig_act, __VA_ARGS__)
 
-/* Cuts the domain of the primary off from the others.  */
+/* Partitions the failure domain of the primary from the others.  */
 static void
 cut_primary (void)
 {
@@ -110,7 +110,7 @@
   ck_assert_uint_eq (sim_instance_puts (rig_instance (rig, 0, 0), "k"), 1);
 }
 
-UNIT_TEST (test_request_id_of_the_longest_length_is_taken_and_no_longer_one)
+UNIT_TEST (test_request_id_is_accepted_up_to_its_length_limit)
 {
   char id[REQUEST_ID_BYTES + 2];
   memset (id, 'x', sizeof id);
@@ -131,7 +131,7 @@
   ck_assert_uint_eq (sim_instance_puts (rig_instance (rig, 0, 0), "k"), 1);
 }
 
-UNIT_TEST (test_write_held_by_a_frozen_primary_is_barred_when_it_thaws)
+UNIT_TEST (test_outcome_of_a_write_to_a_frozen_primary_is_resolved)
 {
   sim_instance_freeze (rig_instance (rig, 0, 0), true);
   rig_submit (rig, 0, &a, "release", "put k v1", NULL, "id-1", 500);
@@ -149,7 +149,7 @@
   struct sim_instance *old = rig_instance (rig, 0, 0);
   write_and_wait ("put k v0", "id-0");
   cut_primary ();
-  /* A host of the primary's side commits there, without a replica.  */
+  /* A host in the primary's domain commits there, but no replica confirms.  */
   rig_submit (rig, 0, &a, "release", "put k v1", NULL, "id-1", 1000);
   rig_run (rig, 200);
   ck_assert (!a.done);
@@ -164,7 +164,7 @@
                     a.outcome == OUTCOME_DONE ? 2 : 1);
 }
 
-UNIT_TEST (test_write_in_the_gap_is_held_until_the_new_primary)
+UNIT_TEST (test_write_without_a_primary_is_held_until_promotion)
 {
   rig_set_term (rig, 0, 2, 0, TERM_SEALING, 0);
   rig_submit (rig, 0, &a, "release", "put k v", NULL, NULL, 3000);
@@ -179,9 +179,9 @@
   ck_assert_str_eq (a.served_by, "t/s/d0/i2");
 }
 
-UNIT_TEST (test_token_of_work_that_a_failover_lost_is_refused)
+UNIT_TEST (test_token_of_a_write_lost_in_a_failover_is_refused)
 {
-  /* Acknowledged by the weaker rule, then lost with its primary.  */
+  /* Acknowledged under ACK_PRIMARY, then lost with its primary.  */
   cut_primary ();
   EXPECT (OUTCOME_DONE, 1000, 0, &a, "note", "put k v", NULL, NULL, 0);
   sim_instance_isolate (rig_instance (rig, 0, 0), true);
@@ -190,7 +190,7 @@
   ck_assert_int_eq (b.reason, REASON_TOKEN_AHEAD);
 }
 
-UNIT_TEST (test_weaker_rule_needs_a_recent_view)
+UNIT_TEST (test_ack_by_primary_needs_a_recent_view)
 {
   rig_set_view_age (rig, ACK_WINDOW_MS);
   cut_primary ();
@@ -201,7 +201,7 @@
   ck_assert_int_eq (a.outcome, OUTCOME_UNKNOWN);
 }
 
-UNIT_TEST (test_aged_read_leaves_a_replica_that_is_too_old)
+UNIT_TEST (test_max_age_read_avoids_a_replica_that_lags_too_far)
 {
   sim_instance_lag (rig_instance (rig, 0, 1), 60000);
   write_and_wait ("put k v", NULL);
@@ -249,7 +249,7 @@
     ck_assert_uint_eq (entry_in_flight (rig_entry (rig, i)), 0);
 }
 
-UNIT_TEST (test_transaction_of_a_silent_entry_host_is_rolled_back)
+UNIT_TEST (test_transaction_of_an_unreachable_entry_host_is_rolled_back)
 {
   size_t first = rig_gateway_host (rig, 0, 0, 0);
   size_t other = (first + 1) % 6;
@@ -262,7 +262,7 @@
   ck_assert_uint_eq (gateway_in_flight (rig_gateway (rig, first)), 0);
 }
 
-UNIT_TEST (test_lookup_finds_the_stored_answer_and_bars_what_is_absent)
+UNIT_TEST (test_lookup_returns_the_stored_answer_and_blocks_an_absent_request)
 {
   write_and_wait ("put k v", "id-1");
   EXPECT_ACT (OUTCOME_DONE, 1000, 2, &b, ENTRY_LOOKUP, NULL, NULL, NULL,
@@ -310,7 +310,7 @@
     }
 }
 
-UNIT_TEST (test_leaving_database_and_draining_host_get_no_new_work)
+UNIT_TEST (test_leaving_database_and_draining_host_refuse_new_requests)
 {
   rig_set_leaving (rig, true);
   rig_submit (rig, 1, &a, "release", "put k v", NULL, NULL, 0);
--- a/tests/unit/test_session.c
+++ b/tests/unit/test_session.c
@@ -9,14 +9,14 @@
 static char token[TOKEN_LIMIT_BYTES];
 
 static void
-print (void)
+encode (void)
 {
   ck_assert (
       session_print (&session, key, "t/s", "clerk", token, sizeof token));
 }
 
 static void
-see (const char *database, uint64_t term, uint64_t lsn)
+advance (const char *database, uint64_t term, uint64_t lsn)
 {
   struct position position = { .term = term, .lsn = lsn };
   session_see (&session, database, position);
@@ -25,11 +25,11 @@
 UNIT_TEST (test_positions_only_advance)
 {
   memset (&session, 0, sizeof session);
-  see ("t/s/a", 1, 100);
-  see ("t/s/a", 1, 90);
-  see ("t/s/b", 2, 5);
-  see ("t/s/b", 1, 500);
-  print ();
+  advance ("t/s/a", 1, 100);
+  advance ("t/s/a", 1, 90);
+  advance ("t/s/b", 2, 5);
+  advance ("t/s/b", 1, 500);
+  encode ();
   ck_assert (session_open (&read_back, key, "t/s", "clerk", token));
   ck_assert_uint_eq (session_position (&read_back, "t/s/a").lsn, 100);
   ck_assert_uint_eq (session_position (&read_back, "t/s/b").term, 2);
@@ -40,8 +40,8 @@
 UNIT_TEST (test_any_altered_character_is_refused)
 {
   memset (&session, 0, sizeof session);
-  see ("t/s/a", 1, 100);
-  print ();
+  advance ("t/s/a", 1, 100);
+  encode ();
   for (size_t i = 0; token[i] != '\0'; i++)
     {
       char was = token[i];
@@ -57,28 +57,28 @@
 UNIT_TEST (test_token_of_another_caller_service_or_key_is_refused)
 {
   memset (&session, 0, sizeof session);
-  see ("t/s/a", 1, 100);
-  print ();
+  advance ("t/s/a", 1, 100);
+  encode ();
   ck_assert (session_open (&read_back, key, "t/s", "clerk", token));
   ck_assert (!session_open (&read_back, key, "t/s", "clerk2", token));
   ck_assert (!session_open (&read_back, key, "t/s2", "clerk", token));
   ck_assert (!session_open (&read_back, other_key, "t/s", "clerk", token));
 }
 
-UNIT_TEST (test_full_session_keeps_all_it_has_and_fits_its_limit)
+UNIT_TEST (test_full_session_keeps_every_position_and_fits_the_token_limit)
 {
   char name[32];
   memset (&session, 0, sizeof session);
   for (unsigned i = 0; i < SESSION_DATABASES; i++)
     {
       snprintf (name, sizeof name, "t/s/d%u", i);
-      ck_assert (session_has_room (&session, name));
-      see (name, 1, i + 1);
+      ck_assert (session_has_capacity (&session, name));
+      advance (name, 1, i + 1);
     }
-  ck_assert (!session_has_room (&session, "t/s/one-more"));
-  ck_assert (session_has_room (&session, "t/s/d3"));
-  see ("t/s/one-more", 9, 9);
-  print ();
+  ck_assert (!session_has_capacity (&session, "t/s/one-more"));
+  ck_assert (session_has_capacity (&session, "t/s/d3"));
+  advance ("t/s/one-more", 9, 9);
+  encode ();
   ck_assert (session_open (&read_back, key, "t/s", "clerk", token));
   for (unsigned i = 0; i < SESSION_DATABASES; i++)
     {
