--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -28,11 +28,11 @@
 void retry_budget_init (struct retry_budget *budget);
 
 /* Adds the share of one new request.  */
-void retry_budget_earn (struct retry_budget *budget);
+void retry_budget_deposit (struct retry_budget *budget);
 
 /* Takes one retry from the budget.  Returns false if less than one is
    left.  */
-bool retry_budget_take (struct retry_budget *budget);
+bool retry_budget_withdraw (struct retry_budget *budget);
 
 /* Returns the delay before retry ATTEMPT, counted from 0: exponential backoff
    with full jitter, uniform from 0 to RETRY_BASE_MS << ATTEMPT, and at most
--- a/src/core/session.h
+++ b/src/core/session.h
@@ -36,14 +36,15 @@
 /* Decodes TOKEN of SERVICE and CALLER into SESSION.  NULL or "" gives an empty
    session.  Returns false if the token is malformed, was altered or belongs to
    another service or caller.  */
-bool session_open (struct session *session, const uint8_t *key,
-                   const char *service, const char *caller, const char *token);
+bool session_decode (struct session *session, const uint8_t *key,
+                     const char *service, const char *caller,
+                     const char *token);
 
 /* Encodes SESSION as a token in OUT; TOKEN_LIMIT_BYTES (entry.h) suffice.
    Returns false if OUT_BYTES do not.  */
-bool session_print (const struct session *session, const uint8_t *key,
-                    const char *service, const char *caller, char *out,
-                    size_t out_bytes);
+bool session_encode (const struct session *session, const uint8_t *key,
+                     const char *service, const char *caller, char *out,
+                     size_t out_bytes);
 
 /* Returns the session's position in DATABASE, {0, 0} if none.  */
 struct position session_position (const struct session *session,
@@ -55,7 +56,7 @@
 
 /* Raises the session's position in DATABASE to POSITION.  Ignored if it is not
    later than the present one.  */
-void session_see (struct session *session, const char *database,
-                  struct position position);
+void session_advance (struct session *session, const char *database,
+                      struct position position);
 
 #endif
