--- a/src/core/conn_pool.c
+++ b/src/core/conn_pool.c
@@ -7,7 +7,7 @@
 #include "core/types.h"
 #include "kernel/mem.h"
 
-#define MAX_SHIFT 8
+#define MAX_BACKOFF_SHIFT 8
 
 enum conn_state
 {
@@ -23,7 +23,7 @@
   enum conn_state state;
   struct pool_user *user;
   bool busy; /* an answer is outstanding */
-  clk_ms since_ms;
+  clk_ms state_since_ms;
   struct pool_conn *prev;
   struct pool_conn *next;
 };
@@ -44,7 +44,7 @@
   int64_t *at_limit_total;
 };
 
-static void pool_fill (struct conn_pool *pool);
+static void open_missing (struct conn_pool *pool);
 
 static void
 set_state (struct pool_conn *conn, enum conn_state state)
@@ -52,7 +52,7 @@
   conn->pool->counts[conn->state]--;
   conn->state = state;
   conn->pool->counts[state]++;
-  conn->since_ms = kernel_now (conn->pool->options.kernel);
+  conn->state_since_ms = kernel_now (conn->pool->options.kernel);
 }
 
 static void
@@ -64,19 +64,20 @@
 }
 
 static void
-close_now (struct pool_conn *conn)
+close_conn (struct pool_conn *conn)
 {
   struct db_port *db = conn->pool->options.db;
   db->ops->close (db, conn->db);
   conn_free (conn);
 }
 
-/* Waits before the next attempt to open.  */
+/* Counts a failed attempt and sets the backoff until the next one.  */
 static void
-note_failure (struct conn_pool *pool)
+schedule_retry (struct conn_pool *pool)
 {
   struct kernel *kernel = pool->options.kernel;
-  uint32_t shift = pool->failures < MAX_SHIFT ? pool->failures : MAX_SHIFT;
+  uint32_t shift = pool->failures < MAX_BACKOFF_SHIFT ? pool->failures
+                                                      : MAX_BACKOFF_SHIFT;
   clk_ms delay_ms = (clk_ms)POOL_RETRY_BASE_MS << shift;
   if (delay_ms > POOL_RETRY_CAP_MS)
     delay_ms = POOL_RETRY_CAP_MS;
@@ -96,12 +97,12 @@
   pool->failures = 0;
   (*pool->opened_total)++;
   set_state (conn, CONN_IDLE);
-  pool_fill (pool);
+  open_missing (pool);
   pool->options.changed (pool->options.arg);
 }
 
-/* Whether the connection is of no more use: it broke, before or after the
-   job took effect.  */
+/* Returns whether the connection is unusable after RESULT because it broke,
+   before or after the job took effect.  */
 static bool
 is_broken (const struct db_result *result)
 {
@@ -126,9 +127,9 @@
       return;
     }
   conn->user = NULL;
-  close_now (conn);
+  close_conn (conn);
   user->ops->done (user, NULL, result);
-  pool_fill (pool);
+  open_missing (pool);
   pool->options.changed (pool->options.arg);
 }
 
@@ -141,13 +142,13 @@
   (void)db;
   log_event (kernel_log (pool->options.kernel), LOG_INFO, "connection_closed",
              LOG_S ("instance", pool->instance), LOG_S ("why", why),
-             LOG_U ("open", conn_pool_open (pool)));
+             LOG_U ("open", conn_pool_open_count (pool)));
   if (conn->state == CONN_OPENING)
-    note_failure (pool);
+    schedule_retry (pool);
   conn_free (conn);
   if (user != NULL)
     user->ops->closed (user);
-  pool_fill (pool);
+  open_missing (pool);
   pool->options.changed (pool->options.arg);
 }
 
@@ -155,7 +156,7 @@
     = { .opened = on_opened, .result = on_result, .closed = on_closed };
 
 static void
-open_one (struct conn_pool *pool)
+open_conn (struct conn_pool *pool)
 {
   struct db_port *db = pool->options.db;
   struct db_target target
@@ -163,42 +164,43 @@
   struct pool_conn *conn = mem_zalloc (sizeof *conn);
   conn->pool = pool;
   conn->state = CONN_OPENING;
-  conn->since_ms = kernel_now (pool->options.kernel);
+  conn->state_since_ms = kernel_now (pool->options.kernel);
   pool->counts[CONN_OPENING]++;
   DL_APPEND (pool->conns, conn);
   conn->db = db->ops->open (db, &target, &events, conn);
 }
 
 static void
-drop_overdue (struct conn_pool *pool, clk_ms now_ms)
+close_timed_out (struct conn_pool *pool, clk_ms now_ms)
 {
   struct pool_conn *conn, *next;
   DL_FOREACH_SAFE (pool->conns, conn, next)
   {
     if (conn->state != CONN_OPENING
-        || now_ms - conn->since_ms < POOL_CONNECT_TIMEOUT_MS)
+        || now_ms - conn->state_since_ms < POOL_CONNECT_TIMEOUT_MS)
       continue;
-    note_failure (pool);
-    close_now (conn);
+    schedule_retry (pool);
+    close_conn (conn);
   }
 }
 
 static void
-drop_surplus (struct conn_pool *pool, clk_ms now_ms)
+close_surplus (struct conn_pool *pool, clk_ms now_ms)
 {
   struct pool_conn *conn, *next;
   DL_FOREACH_SAFE (pool->conns, conn, next)
   {
-    bool over_limit = conn_pool_used (pool) > pool->options.limit;
-    bool unused = conn_pool_used (pool) > pool->wanted
-                  && now_ms - conn->since_ms >= POOL_IDLE_MS;
-    if (conn->state == CONN_IDLE && (over_limit || unused))
-      close_now (conn);
+    bool over_limit = conn_pool_total_count (pool) > pool->options.limit;
+    bool idle_too_long
+        = conn_pool_total_count (pool) > pool->wanted
+          && now_ms - conn->state_since_ms >= POOL_IDLE_TIMEOUT_MS;
+    if (conn->state == CONN_IDLE && (over_limit || idle_too_long))
+      close_conn (conn);
   }
 }
 
 static void
-pool_fill (struct conn_pool *pool)
+open_missing (struct conn_pool *pool)
 {
   clk_ms now_ms = kernel_now (pool->options.kernel);
   uint32_t target = pool->wanted;
@@ -207,10 +209,10 @@
       target = pool->options.limit;
       (*pool->at_limit_total)++;
     }
-  uint32_t at_once = pool->failures > 0 ? 1 : POOL_OPENING_LIMIT;
-  while (now_ms >= pool->retry_ms && conn_pool_used (pool) < target
-         && pool->counts[CONN_OPENING] < at_once)
-    open_one (pool);
+  uint32_t opening_limit = pool->failures > 0 ? 1 : POOL_OPENING_LIMIT;
+  while (now_ms >= pool->retry_ms && conn_pool_total_count (pool) < target
+         && pool->counts[CONN_OPENING] < opening_limit)
+    open_conn (pool);
 }
 
 static void
@@ -218,9 +220,9 @@
 {
   struct conn_pool *pool = arg;
   clk_ms now_ms = kernel_now (pool->options.kernel);
-  drop_overdue (pool, now_ms);
-  drop_surplus (pool, now_ms);
-  pool_fill (pool);
+  close_timed_out (pool, now_ms);
+  close_surplus (pool, now_ms);
+  open_missing (pool);
   kernel_timer_set (pool->options.kernel, &pool->timer,
                     now_ms + POOL_RETRY_BASE_MS);
 }
@@ -250,7 +252,7 @@
     return;
   kernel_timer_cancel (pool->options.kernel, &pool->timer);
   while (pool->conns != NULL)
-    close_now (pool->conns);
+    close_conn (pool->conns);
   free (pool);
 }
 
@@ -270,14 +272,14 @@
 }
 
 void
-conn_pool_want (struct conn_pool *pool, uint32_t count)
+conn_pool_set_wanted (struct conn_pool *pool, uint32_t count)
 {
   pool->wanted = count;
-  pool_fill (pool);
+  open_missing (pool);
 }
 
 struct pool_conn *
-conn_pool_take (struct conn_pool *pool, struct pool_user *user)
+conn_pool_acquire (struct conn_pool *pool, struct pool_user *user)
 {
   struct pool_conn *conn;
   DL_FOREACH (pool->conns, conn)
@@ -306,7 +308,7 @@
 }
 
 void
-conn_pool_give (struct pool_conn *conn)
+conn_pool_release (struct pool_conn *conn)
 {
   if (conn->busy)
     {
@@ -321,8 +323,8 @@
 conn_pool_discard (struct pool_conn *conn)
 {
   struct conn_pool *pool = conn->pool;
-  close_now (conn);
-  pool_fill (pool);
+  close_conn (conn);
+  open_missing (pool);
 }
 
 uint32_t
@@ -332,21 +334,21 @@
 }
 
 uint32_t
-conn_pool_idle (const struct conn_pool *pool)
+conn_pool_idle_count (const struct conn_pool *pool)
 {
   return pool->counts[CONN_IDLE];
 }
 
 uint32_t
-conn_pool_open (const struct conn_pool *pool)
+conn_pool_open_count (const struct conn_pool *pool)
 {
   return pool->counts[CONN_IDLE] + pool->counts[CONN_OWNED];
 }
 
 uint32_t
-conn_pool_used (const struct conn_pool *pool)
+conn_pool_total_count (const struct conn_pool *pool)
 {
-  return conn_pool_open (pool) + pool->counts[CONN_OPENING];
+  return conn_pool_open_count (pool) + pool->counts[CONN_OPENING];
 }
 
 uint32_t
--- a/src/core/control.c
+++ b/src/core/control.c
@@ -6,10 +6,13 @@
 
 #include "kernel/mem.h"
 
+/* Timeouts of connection attempts and of jobs by kind.  */
 #define CONNECT_TIMEOUT_MS 1000
 #define STATUS_TIMEOUT_MS 1000
 #define SEAL_TIMEOUT_MS 3000
 #define ROLE_TIMEOUT_MS 10000
+
+/* Backoff after a failure: doubles from the minimum up to the maximum.  */
 #define REOPEN_MIN_MS 100
 #define REOPEN_MAX_MS 1000
 
@@ -41,13 +44,13 @@
   enum link_state link;
   struct db_conn *conn;
   struct control_job *queue;
-  bool running; /* the head of the queue is submitted */
+  bool running; /* the first job of the queue is submitted */
   struct control_state state;
   struct ktimer timeout;
   struct ktimer reopen;
 };
 
-static void pump (struct control *control);
+static void start_next (struct control *control);
 
 static void
 finish_job (struct control_job *job, const struct db_result *result)
@@ -59,7 +62,7 @@
     done (arg, result);
 }
 
-/* Fails the jobs queued by now; those that their callbacks add stay.  */
+/* Fails all queued jobs.  Jobs added by their callbacks stay queued.  */
 static void
 fail_jobs (struct control *control)
 {
@@ -75,34 +78,34 @@
 }
 
 static void
-link_lost (struct control *control)
+handle_link_loss (struct control *control)
 {
   uint32_t shift = control->state.failures < 4 ? control->state.failures : 4;
-  clk_ms pause_ms = REOPEN_MIN_MS << shift;
-  if (pause_ms > REOPEN_MAX_MS)
-    pause_ms = REOPEN_MAX_MS;
+  clk_ms backoff_ms = REOPEN_MIN_MS << shift;
+  if (backoff_ms > REOPEN_MAX_MS)
+    backoff_ms = REOPEN_MAX_MS;
   control->link = LINK_CLOSED;
   control->conn = NULL;
   control->state.failures++;
   kernel_timer_cancel (control->kernel, &control->timeout);
   kernel_timer_set (control->kernel, &control->reopen,
-                    kernel_now (control->kernel) + pause_ms);
+                    kernel_now (control->kernel) + backoff_ms);
   fail_jobs (control);
 }
 
 static void
-timed_out (void *arg)
+on_timeout (void *arg)
 {
   struct control *control = arg;
   control->port->ops->close (control->port, control->conn);
-  link_lost (control);
+  handle_link_loss (control);
 }
 
 static void
-set_timeout (struct control *control, clk_ms span_ms)
+set_timeout (struct control *control, clk_ms delay_ms)
 {
   kernel_timer_set (control->kernel, &control->timeout,
-                    kernel_now (control->kernel) + span_ms);
+                    kernel_now (control->kernel) + delay_ms);
 }
 
 static void
@@ -112,7 +115,7 @@
   (void)conn;
   control->link = LINK_OPEN;
   kernel_timer_cancel (control->kernel, &control->timeout);
-  pump (control);
+  start_next (control);
 }
 
 static bool
@@ -142,7 +145,7 @@
       control->state.report = result->report;
     }
   finish_job (job, result);
-  pump (control);
+  start_next (control);
 }
 
 static void
@@ -150,7 +153,7 @@
 {
   (void)conn;
   (void)why;
-  link_lost (arg);
+  handle_link_loss (arg);
 }
 
 static const struct db_conn_events events
@@ -168,7 +171,7 @@
 }
 
 static clk_ms
-timeout_of (enum db_job_kind kind)
+job_timeout_ms (enum db_job_kind kind)
 {
   if (kind == DB_STATUS)
     return STATUS_TIMEOUT_MS;
@@ -185,12 +188,12 @@
                               .follow_address = queued->follow_address,
                               .follow_port = queued->follow_port };
   control->running = true;
-  set_timeout (control, timeout_of (queued->kind));
+  set_timeout (control, job_timeout_ms (queued->kind));
   control->port->ops->submit (control->port, control->conn, &job);
 }
 
 static void
-pump (struct control *control)
+start_next (struct control *control)
 {
   if (control->queue == NULL || control->running)
     return;
@@ -201,9 +204,9 @@
 }
 
 static void
-reopen_due (void *arg)
+on_reopen (void *arg)
 {
-  pump (arg);
+  start_next (arg);
 }
 
 struct control *
@@ -217,9 +220,9 @@
   memcpy (control->address, target->address, length);
   control->db_port_number = target->port;
   control->state.answered_ms = kernel_now (kernel);
-  control->timeout.fire = timed_out;
+  control->timeout.fire = on_timeout;
   control->timeout.arg = control;
-  control->reopen.fire = reopen_due;
+  control->reopen.fire = on_reopen;
   control->reopen.arg = control;
   return control;
 }
@@ -262,7 +265,7 @@
       job->follow_port = follow->port;
     }
   DL_APPEND (control->queue, job);
-  pump (control);
+  start_next (control);
 }
 
 void
--- a/src/core/cost.c
+++ b/src/core/cost.c
@@ -6,11 +6,19 @@
 #include "kernel/mem.h"
 
 #define US_PER_MS 1000
-#define MEAN_SHARE 8    /* weight of one sample is 1 / MEAN_SHARE */
-#define FIRST_SAMPLES 4 /* until then the plain mean counts */
-#define MIN_US 500
+
+/* Weight of a sample in a moving average is 1 / SAMPLE_DIVISOR.  */
+#define SAMPLE_DIVISOR 8
+
+/* The first samples of a kind are averaged with equal weights.  */
+#define PLAIN_MEAN_SAMPLES 4
+
+/* Lower bound of the cheapest kind's cost and slack for outliers.  */
+#define MIN_COST_US 500
+
+/* Samples are capped at about this multiple of the estimate.  */
 #define OUTLIER_RATIO 8
-#define CLASSIFY_EVERY 16
+#define CLASSIFY_INTERVAL_SAMPLES 16
 
 void
 cost_init (struct cost_table *table)
@@ -31,7 +39,7 @@
   }
 }
 
-/* Mean of the short kinds, by how often they run.  */
+/* Returns the mean of the short kinds, weighted by their samples.  */
 static int64_t
 mean_of_short (const struct cost_table *table)
 {
@@ -48,6 +56,7 @@
   return samples > 0 ? sum_us / samples : table->short_mean_us;
 }
 
+/* Classifies all kinds as short or long.  */
 static void
 classify (struct cost_table *table)
 {
@@ -57,8 +66,8 @@
   for (kind = table->kinds; kind != NULL; kind = kind->hh.next)
     if (kind->mean_us < least_us)
       least_us = kind->mean_us;
-  if (least_us < MIN_US)
-    least_us = MIN_US;
+  if (least_us < MIN_COST_US)
+    least_us = MIN_COST_US;
   for (kind = table->kinds; kind != NULL; kind = kind->hh.next)
     {
       bool was = kind->is_long;
@@ -88,19 +97,20 @@
 
 void
 cost_observe (struct cost_table *table, struct cost_kind *kind,
-              clk_ms spent_ms)
+              clk_ms elapsed_ms)
 {
-  int64_t spent_us = spent_ms * US_PER_MS;
-  int64_t share = MEAN_SHARE;
-  /* One answer that hung says little about the kind.  */
-  if (spent_us > OUTLIER_RATIO * kind->mean_us + MIN_US)
-    spent_us = OUTLIER_RATIO * kind->mean_us + MIN_US;
-  if (kind->samples < FIRST_SAMPLES)
-    share = (int64_t)kind->samples + 1;
+  int64_t elapsed_us = elapsed_ms * US_PER_MS;
+  int64_t divisor = SAMPLE_DIVISOR;
+  /* A single stalled execution says little about the kind.  */
+  if (elapsed_us > OUTLIER_RATIO * kind->mean_us + MIN_COST_US)
+    elapsed_us = OUTLIER_RATIO * kind->mean_us + MIN_COST_US;
+  if (kind->samples < PLAIN_MEAN_SAMPLES)
+    divisor = (int64_t)kind->samples + 1;
   kind->samples++;
-  kind->mean_us += (spent_us - kind->mean_us) / share;
-  if (++table->observed % CLASSIFY_EVERY == 0)
+  kind->mean_us += (elapsed_us - kind->mean_us) / divisor;
+  if (++table->observed % CLASSIFY_INTERVAL_SAMPLES == 0)
     classify (table);
   if (!kind->is_long)
-    table->short_mean_us += (spent_us - table->short_mean_us) / MEAN_SHARE;
+    table->short_mean_us
+        += (elapsed_us - table->short_mean_us) / SAMPLE_DIVISOR;
 }
--- a/src/core/cost.h
+++ b/src/core/cost.h
@@ -1,8 +1,9 @@
-/* cost - learned execution time of each kind of request.
+/* cost - estimates the execution time of each kind of request.
 
-   A kind's cost starts from the operators' hint and follows a moving average
-   of what is observed.  A kind is long when it costs many times as much as
-   the cheapest one.  */
+   The estimate of a kind starts at the value that operators configured for it
+   and then follows a moving average of observed execution times.  A kind is
+   classified as long if its estimate is at least COST_LONG_RATIO times that
+   of the cheapest kind.  */
 
 #ifndef SAVORYWAY_CORE_COST_H
 #define SAVORYWAY_CORE_COST_H
@@ -22,8 +23,8 @@
 struct cost_kind
 {
   char name[NAME_BYTES];
-  int64_t mean_us;
-  uint64_t samples;
+  int64_t mean_us;  /* estimated execution time */
+  uint64_t samples; /* executions observed */
   bool is_long;
   UT_hash_handle hh;
 };
@@ -31,21 +32,23 @@
 struct cost_table
 {
   struct cost_kind *kinds;
-  struct cost_kind other; /* shared by kinds beyond the limit */
-  int64_t short_mean_us;  /* of the executions that were short */
-  uint32_t observed;
+  struct cost_kind other; /* shared by all kinds beyond COST_KIND_LIMIT */
+  int64_t short_mean_us;  /* moving average over executions of short kinds */
+  uint32_t observed;      /* executions observed, of all kinds */
 };
 
 void cost_init (struct cost_table *table);
 void cost_clear (struct cost_table *table);
 
-/* Returns what is known of kind NAME; a new one starts at HINT_MS, 0 for the
-   default.  The pointer stays valid until cost_clear.  */
+/* Returns the entry of the kind NAME and adds it if it is missing.  The
+   estimate of a new entry is HINT_MS, or COST_DEFAULT_MS if that is 0.  The
+   pointer stays valid until cost_clear.  */
 struct cost_kind *cost_find (struct cost_table *table, const char *name,
                              clk_ms hint_ms);
 
-/* Takes in that a request of KIND took SPENT_MS on a connection.  */
+/* Updates the estimate of KIND with an execution that occupied a connection
+   for ELAPSED_MS.  */
 void cost_observe (struct cost_table *table, struct cost_kind *kind,
-                   clk_ms spent_ms);
+                   clk_ms elapsed_ms);
 
 #endif
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -39,7 +39,7 @@
   return GW_NONE;
 }
 
-/* This host's share of the instance's connections.  */
+/* Returns the number of connections that this host may open.  */
 static uint32_t
 connection_limit (struct gateway *gateway,
                   const struct view_database *database)
@@ -66,23 +66,25 @@
     instance->slots = 1;
 }
 
-/* Keeps open: one for each slot, one for the status, those of open
-   transactions, and one ahead of the next.  */
+/* Keeps one connection open for each slot, one for status queries, those of
+   open transactions, and a spare one if there are transactions.  */
 static void
-set_wanted (struct gw_instance *instance)
+set_wanted_connections (struct gw_instance *instance)
 {
   uint32_t wanted = instance->slots + 1 + gw_tx_count (instance);
-  bool used = gw_now (instance->gateway) - instance->used_ms < GW_UNUSED_MS;
+  bool used = gw_now (instance->gateway) - instance->last_used_ms
+              < GW_UNUSED_TIMEOUT_MS;
   if (gw_tx_count (instance) > 0)
     wanted++;
   if (instance->role == GW_NONE && !used)
     wanted = 0;
-  conn_pool_want (instance->pool, wanted);
+  conn_pool_set_wanted (instance->pool, wanted);
 }
 
 static void
-update (struct gw_instance *instance, const struct view_database *database,
-        const struct view_instance *at)
+update_instance (struct gw_instance *instance,
+                 const struct view_database *database,
+                 const struct view_instance *at)
 {
   struct gateway *gateway = instance->gateway;
   uint32_t limit = connection_limit (gateway, database);
@@ -102,14 +104,14 @@
   conn_pool_set_target (instance->pool, at->address, at->port);
   instance->members_generation = members_generation (gateway->members);
   instance->view_generation = view_generation (gateway->view);
-  set_wanted (instance);
+  set_wanted_connections (instance);
 }
 
 static void
 pool_changed (void *arg)
 {
   struct gw_instance *instance = arg;
-  gw_pump (instance);
+  gw_dispatch (instance);
 }
 
 static struct gw_instance *
@@ -163,9 +165,8 @@
 }
 
 struct gw_instance *
-gw_instance_take (struct gateway *gateway,
-                  const struct view_database *database,
-                  const struct view_instance *at)
+gw_instance_get (struct gateway *gateway, const struct view_database *database,
+                 const struct view_instance *at)
 {
   struct gw_instance *instance = find_instance (gateway, at->name);
   if (instance == NULL)
@@ -178,14 +179,15 @@
       = instance->members_generation == members_generation (gateway->members)
         && instance->view_generation == view_generation (gateway->view);
   if (!current)
-    update (instance, database, at);
+    update_instance (instance, database, at);
   return instance;
 }
 
-/* Takes up the instances of this failure domain that are placed here;
-   those of a domain without hosts come up with their first request.  */
+/* Adds the instances of this host's failure domain that are placed on this
+   host.  Instances of a domain without hosts are added on their first
+   request.  */
 static void
-take_placed (struct gateway *gateway)
+add_placed_instances (struct gateway *gateway)
 {
   const char *domain = members_self (gateway->members)->domain;
   struct view_database *database;
@@ -193,12 +195,12 @@
        database = database->hh.next)
     for (size_t i = 0; i < database->instance_count; i++)
       if (strcmp (database->instances[i].domain, domain) == 0)
-        gw_instance_take (gateway, database, &database->instances[i]);
+        gw_instance_get (gateway, database, &database->instances[i]);
 }
 
-/* Works out placements again after a change of hosts or configuration.  */
+/* Recomputes roles and limits after a change of hosts or configuration.  */
 static void
-follow_changes (struct gateway *gateway)
+refresh_instances (struct gateway *gateway)
 {
   uint64_t members = members_generation (gateway->members);
   uint64_t view = view_generation (gateway->view);
@@ -207,7 +209,7 @@
     return;
   gateway->members_generation = members;
   gateway->view_generation = view;
-  take_placed (gateway);
+  add_placed_instances (gateway);
   for (struct gw_instance *instance = gateway->instances; instance != NULL;
        instance = instance->hh.next)
     {
@@ -216,13 +218,14 @@
       struct view_instance *at
           = database ? view_instance (database, instance->name) : NULL;
       if (at != NULL)
-        update (instance, database, at);
+        update_instance (instance, database, at);
     }
 }
 
-/* Drops instances that were removed, or have moved and are no longer used. */
+/* Removes idle instances that are no longer configured, or that are placed
+   on other hosts and no longer used.  */
 static void
-drop_unused (struct gateway *gateway)
+drop_unused_instances (struct gateway *gateway)
 {
   struct gw_instance *instance, *next;
   HASH_ITER (hh, gateway->instances, instance, next)
@@ -232,10 +235,11 @@
     bool gone
         = database == NULL || view_instance (database, instance->name) == NULL;
     bool idle = instance->job_count == 0 && gw_tx_count (instance) == 0;
-    bool unused = gw_now (gateway) - instance->used_ms >= GW_UNUSED_MS;
+    bool unused
+        = gw_now (gateway) - instance->last_used_ms >= GW_UNUSED_TIMEOUT_MS;
     if (gone)
       instance->leaving = true;
-    set_wanted (instance);
+    set_wanted_connections (instance);
     if (idle && (gone || (instance->role == GW_NONE && unused)))
       drop_instance (instance);
   }
@@ -246,15 +250,16 @@
 {
   struct gateway *gateway = arg;
   gw_tx_sweep (gateway);
-  follow_changes (gateway);
-  drop_unused (gateway);
+  refresh_instances (gateway);
+  drop_unused_instances (gateway);
   kernel_timer_set (gateway->base.kernel, &gateway->tick,
-                    gw_now (gateway) + GW_TICK_MS);
+                    gw_now (gateway) + GW_TICK_INTERVAL_MS);
 }
 
-/* Sends back what waits for a slot under a term that is over.  */
+/* Refuses the queued writes of terms that have been superseded.  */
 static void
-on_term (void *arg, const char *database, const struct term_record *record)
+on_term_changed (void *arg, const char *database,
+                 const struct term_record *record)
 {
   struct gateway *gateway = arg;
   struct gw_instance *instance;
@@ -267,7 +272,7 @@
       while (job != NULL)
         {
           struct gw_job *next = job->next;
-          bool stale = !job->read_only && job->min.term < record->term;
+          bool stale = !job->read_only && job->required.term < record->term;
           if (job->state == GW_QUEUED && stale)
             {
               queue_remove (instance->queue, &job->item);
@@ -289,7 +294,7 @@
   gateway->view = viewmod_get (kernel);
   peers_handle (gateway->peers, PEER_KIND_EXECUTE, gw_on_execute, gateway);
   peers_handle (gateway->peers, PEER_KIND_HEARTBEAT, gw_on_heartbeat, gateway);
-  terms_watch (gateway->terms, on_term, gateway);
+  terms_watch (gateway->terms, on_term_changed, gateway);
   gateway->tick.fire = on_tick;
   gateway->tick.arg = gateway;
   kernel_timer_set (kernel, &gateway->tick, kernel_now (kernel));
@@ -324,7 +329,7 @@
   gateway->base.name = "gateway";
   gateway->db = db;
   gateway->policy = policy;
-  gateway->ledger_retention_ms = LEDGER_RETENTION_MS;
+  gateway->ledger_retention_ms = GATEWAY_LEDGER_RETENTION_MS;
   return gateway;
 }
 
@@ -364,5 +369,5 @@
 gateway_connections (const struct gateway *gateway, const char *name)
 {
   struct gw_instance *instance = find_instance (gateway, name);
-  return instance == NULL ? 0 : conn_pool_used (instance->pool);
+  return instance == NULL ? 0 : conn_pool_total_count (instance->pool);
 }
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -1,13 +1,14 @@
-/* gateway - runs requests on the instances whose gateway this host is.
+/* gateway - executes requests on the database instances placed on this host.
 
-   Holds the connections, the queue and the open transactions of an instance,
-   keeps within its slots and connections, refuses at once what cannot finish
-   in time, and holds answers of writes until their acknowledgement rule is
-   met.
+   For each instance the gateway owns a connection pool, a request queue and
+   the open transactions.  It respects the limits on concurrent requests
+   (slots) and on connections, refuses a request at once if it cannot finish
+   before its deadline, and delays the answer to a write until the
+   acknowledgement rule of its kind is met.
 
-   Two hosts may act for an instance: the first two of its placement.  Each
-   may open half of its connections; the first uses all slots, the second
-   one.
+   The first two hosts in the placement of an instance may act as its
+   gateway.  Each may open half of the instance's connections.  The first
+   host uses all slots; the second uses one.
 
    Module name: "gateway".  */
 
@@ -23,52 +24,66 @@
 #define GATEWAY_HOSTS 2
 #define GATEWAY_KEY "gateway/%s"
 
-/* Connections of an instance that are left to coordinators' probes.  */
+/* Connections of an instance that gateways leave free for the probes of
+   coordinators.  */
 #define GATEWAY_RESERVED_CONNECTIONS 6
 
-/* How long after a read of the platform a host may take its view of a term
-   as current, for ACK_PRIMARY and strong reads.  */
+/* Age, counted from a read of the platform, up to which a host may rely on
+   its view of a term record for ACK_PRIMARY and strong reads.  A promotion
+   relies on this limit: once it has passed, no host acknowledges writes of
+   the previous term on the strength of an old view.  */
 #define ACK_WINDOW_MS 3000
 
-/* Of the window, what an answer may take from the gateway to the caller.  */
+/* Part of that age reserved for sending the answer from the gateway to the
+   caller.  */
 #define ACK_TRANSIT_MS 1000
 
-/* peer_execute.max_age_ms of a read that only the primary of min_term may
-   serve.  Other values: 0 no limit, above 0 the limit of a replica's lag.
-   For writes, look-ups and strong reads, min_term is the term required; for
-   other reads, min_term and min_lsn are the position of the session.  */
+/* Value of peer_execute.max_age_ms for a strong read, which only the primary
+   of min_term may serve.  Other values: 0 means no limit, a positive value
+   limits the lag of a replica.  For writes, look-ups and strong reads,
+   min_term is the required term; for other reads, min_term and min_lsn are
+   the position of the session.  */
 #define GATEWAY_STRONG (-1)
 
-/* How long a gateway holds a read for the replica to catch up.  */
+/* Time that a read may wait for the replica to replay up to the position of
+   the session.  */
 #define GATEWAY_READ_WAIT_MS 100
 
-#define LEDGER_RETENTION_MS ((clk_ms)24 * 60 * 60 * 1000)
+/* Default age at which rows of the ledger, the table of request ids and their
+   stored answers, are deleted.  */
+#define GATEWAY_LEDGER_RETENTION_MS ((clk_ms)24 * 60 * 60 * 1000)
 
 struct gateway;
 
+/* Creates a gateway that connects to instances through DB.  Start and free it
+   as a module of the kernel.  */
 struct gateway *gateway_new (struct db_port *db, enum policy policy);
 struct module *gateway_module (struct gateway *gateway);
 
 enum policy gateway_policy (const struct gateway *gateway);
 
-/* Sets after what time rows of the ledger are deleted; 0 keeps them.  */
+/* Sets the age in milliseconds at which ledger rows are deleted; 0 disables
+   deletion.  */
 void gateway_set_ledger_retention (struct gateway *gateway, clk_ms age_ms);
 
-/* Gives the gateway a function that returns the age of this host's view of
-   the term records.  Without one, no view counts as recent.  */
+/* Sets AGE, which returns the age in milliseconds of this host's view of the
+   term records.  Without it the view is never treated as recent.  */
 void gateway_set_view_age (struct gateway *gateway, clk_ms (*age) (void *arg),
                            void *arg);
 
-/* Writes to OUT the hosts that act for INSTANCE, in order; returns how
-   many.  */
+/* Writes the gateway hosts of INSTANCE to OUT in order of placement and
+   returns their number.  Hosts of the instance's failure domain are used if
+   there are any, otherwise all hosts.  */
 size_t gateway_hosts (struct members *members,
                       const struct view_instance *instance,
                       const struct member *out[GATEWAY_HOSTS]);
 
-/* Requests queued or running here, and open transactions.  */
+/* Returns the number of requests on this host that are not answered yet plus
+   the number of open transactions.  */
 size_t gateway_in_flight (const struct gateway *gateway);
 
-/* Connections open or opening to INSTANCE from here.  */
+/* Returns the number of connections from this host to INSTANCE that are open
+   or being opened.  */
 uint32_t gateway_connections (const struct gateway *gateway,
                               const char *instance);
 
--- a/src/core/gateway_admit.c
+++ b/src/core/gateway_admit.c
@@ -3,19 +3,28 @@
 #include "core/gateway_impl.h"
 
 #define US_PER_MS 1000
-#define WINDOW_MS 100
-#define PRIORITY_STEP 3
-#define OVERLOAD_LEAVE_SHARE 4
-#define OVERLOAD_LEAVE_WINDOWS 5
-#define COST_DECAY 4
+#define OVERLOAD_WINDOW_MS 100
 
+/* The limit on the expected wait rises by 1 / OVERLOAD_PRIORITY_DIVISOR for
+   each priority level.  */
+#define OVERLOAD_PRIORITY_DIVISOR 3
+
+/* Overload ends after this number of consecutive windows in which at most
+   1 / OVERLOAD_EXIT_REFUSAL_DIVISOR of the short requests were refused.  */
+#define OVERLOAD_EXIT_REFUSAL_DIVISOR 4
+#define OVERLOAD_EXIT_WINDOWS 5
+
+/* An estimate that exceeds the deadline is lowered by this part.  */
+#define COST_DECAY_DIVISOR 4
+
+/* Returns the number of slots that long jobs may use.  */
 static uint32_t
 long_limit (const struct gw_instance *instance)
 {
   return (instance->slots + 1) / 2;
 }
 
-/* Expected remaining time of what runs.  */
+/* Returns the expected remaining execution time of the running jobs.  */
 static int64_t
 running_us (const struct gw_instance *instance, bool is_long)
 {
@@ -39,17 +48,17 @@
   return sum_us;
 }
 
-/* Expected time until a slot is free for JOB.  */
+/* Returns the expected time until JOB gets a slot.  */
 static int64_t
 expected_wait_us (const struct gw_job *job)
 {
   const struct gw_instance *instance = job->instance;
   clk_ms now_ms = gw_now (instance->gateway);
   if (job->item.is_long)
-    return (queue_long_us (instance->queue) + running_us (instance, true))
+    return (queue_long_cost_us (instance->queue) + running_us (instance, true))
            / long_limit (instance);
-  int64_t ahead_us = queue_ahead_us (instance->queue, instance->service,
-                                     job->item.priority, now_ms);
+  int64_t ahead_us = queue_cost_ahead_us (instance->queue, instance->service,
+                                          job->item.priority, now_ms);
   if (instance->running < instance->slots && ahead_us == 0)
     return 0;
   uint32_t slots = 1;
@@ -58,40 +67,42 @@
   return (ahead_us + running_us (instance, false)) / slots;
 }
 
-/* Whether the load is above what the slots serve.  It is when even the least
-   time in queue of a window is long: then the queue is standing and only
-   adds delay.  It is no longer once few have to be turned away for a
-   while.  */
+/* Returns whether the load exceeds the capacity of the slots.  Overload begins
+   when even the shortest queueing time of a window is long: the queue is then
+   a standing queue that only adds delay.  It ends after
+   OVERLOAD_EXIT_WINDOWS consecutive windows with few refusals.  */
 static bool
-judge_load (struct gw_instance *instance)
+detect_overload (struct gw_instance *instance)
 {
   if (instance->overloaded)
     {
-      bool calm
-          = instance->turned_away <= instance->arrived / OVERLOAD_LEAVE_SHARE;
-      instance->calm_windows = calm ? instance->calm_windows + 1 : 0;
-      return instance->calm_windows < OVERLOAD_LEAVE_WINDOWS;
+      bool few_refused
+          = instance->overload_refusals
+            <= instance->short_arrivals / OVERLOAD_EXIT_REFUSAL_DIVISOR;
+      instance->low_refusal_windows
+          = few_refused ? instance->low_refusal_windows + 1 : 0;
+      return instance->low_refusal_windows < OVERLOAD_EXIT_WINDOWS;
     }
-  instance->calm_windows = 0;
+  instance->low_refusal_windows = 0;
   int64_t target_us = instance->costs.short_mean_us / 2;
-  return instance->least_wait_ms != CLK_NEVER
-         && instance->least_wait_ms * US_PER_MS > target_us;
+  return instance->min_wait_ms != CLK_NEVER
+         && instance->min_wait_ms * US_PER_MS > target_us;
 }
 
 void
-gw_note_wait (struct gw_instance *instance, clk_ms wait_ms)
+gw_record_wait (struct gw_instance *instance, clk_ms wait_ms)
 {
   clk_ms now_ms = gw_now (instance->gateway);
-  if (wait_ms < instance->least_wait_ms)
-    instance->least_wait_ms = wait_ms;
-  if (now_ms - instance->sampled_ms < WINDOW_MS)
+  if (wait_ms < instance->min_wait_ms)
+    instance->min_wait_ms = wait_ms;
+  if (now_ms - instance->window_start_ms < OVERLOAD_WINDOW_MS)
     return;
   bool was = instance->overloaded;
-  instance->overloaded = judge_load (instance);
-  instance->sampled_ms = now_ms;
-  instance->least_wait_ms = CLK_NEVER;
-  instance->arrived = 0;
-  instance->turned_away = 0;
+  instance->overloaded = detect_overload (instance);
+  instance->window_start_ms = now_ms;
+  instance->min_wait_ms = CLK_NEVER;
+  instance->short_arrivals = 0;
+  instance->overload_refusals = 0;
   if (was != instance->overloaded)
     log_event (kernel_log (instance->gateway->base.kernel), LOG_NOTICE,
                "overload", LOG_S ("instance", instance->name),
@@ -100,7 +111,7 @@
                LOG_I ("short_mean_us", instance->costs.short_mean_us));
 }
 
-/* Whether JOB may queue; if not, refuses it.  */
+/* Returns whether JOB may be queued; refuses it otherwise.  */
 bool
 gw_admit (struct gw_job *job)
 {
@@ -109,27 +120,28 @@
   int64_t wait_us = expected_wait_us (job);
   int64_t left_us = (job->item.deadline_ms - gw_now (gateway)) * US_PER_MS;
   clk_ms retry_ms = wait_us / US_PER_MS + 1;
-  /* An idle instance tries, so that a cost learned while it was stalled is
-     unlearned.  */
+  /* An idle instance accepts the job even so; otherwise a cost estimate that
+     rose while the instance was stalled would never be corrected.  */
   bool idle = instance->running == 0 && queue_count (instance->queue) == 0;
   if (wait_us + job->item.cost_us > left_us && (!idle || left_us <= 0))
     {
-      /* A cost that keeps a kind from running could not be unlearned.  */
+      /* Lower an estimate that alone exceeds the deadline.  Otherwise no job
+         of this kind would run again and the estimate could not fall.  */
       if (job->item.cost_us > left_us)
-        job->cost->mean_us -= job->cost->mean_us / COST_DECAY;
+        job->cost->mean_us -= job->cost->mean_us / COST_DECAY_DIVISOR;
       gw_refuse (job, REASON_DEADLINE, retry_ms);
       return false;
     }
   if (job->item.is_long)
     return true;
-  instance->arrived++;
+  instance->short_arrivals++;
   if (!instance->overloaded)
     return true;
   int64_t limit_us = instance->costs.short_mean_us * 3 / 2;
-  limit_us += limit_us * job->item.priority / PRIORITY_STEP;
+  limit_us += limit_us * job->item.priority / OVERLOAD_PRIORITY_DIVISOR;
   if (wait_us <= limit_us)
     return true;
-  instance->turned_away++;
+  instance->overload_refusals++;
   gw_refuse (job, REASON_OVERLOAD, retry_ms);
   return false;
 }
--- a/src/core/gateway_answer.c
+++ b/src/core/gateway_answer.c
@@ -5,7 +5,7 @@
 #include "core/gateway_impl.h"
 
 #define STATES_LIMIT 16
-#define REPORT_RECENT_MS 5000
+#define REPORT_MAX_AGE_MS 5000 /* older reports are not passed on */
 
 void
 gw_fill_state (const struct gw_instance *instance, peer_instance_state *state)
@@ -15,7 +15,8 @@
     .instance = (char *)instance->name,
     .term = instance->report.term,
     .primary = instance->report.primary,
-    .reachable = conn_pool_open (pool) > 0 && conn_pool_failures (pool) == 0,
+    .reachable
+    = conn_pool_open_count (pool) > 0 && conn_pool_failures (pool) == 0,
     .replayed_lsn = instance->report.replayed_lsn,
     .lag_ms = instance->report.lag_ms,
     .queued
@@ -23,7 +24,8 @@
   };
 }
 
-/* Lists what this host knows of the instances of the job's database.  */
+/* Fills STATES with OWN and the other instances of its database that this
+   host has a recent report of.  Returns their number.  */
 static u_int
 fill_states (const struct gw_instance *own,
              peer_instance_state states[STATES_LIMIT])
@@ -37,7 +39,7 @@
     {
       bool recent
           = instance->report_ms > 0
-            && gw_now (gateway) - instance->report_ms < REPORT_RECENT_MS;
+            && gw_now (gateway) - instance->report_ms < REPORT_MAX_AGE_MS;
       if (instance == own || !recent
           || strcmp (instance->database, own->database) != 0)
         continue;
@@ -50,7 +52,7 @@
 gw_job_free (struct gw_job *job)
 {
   struct gw_instance *instance = job->instance;
-  gw_proof_remove (job);
+  gw_barrier_remove (job);
   DL_DELETE (instance->jobs, job);
   instance->job_count--;
   instance->gateway->job_count--;
@@ -65,10 +67,11 @@
   free (job);
 }
 
-/* Whether the answer of a job that leads a proof shows its write as
-   confirmed; a look-up that found nothing is then told as not run.  */
+/* Returns whether EXECUTED, the answer to a barrier write, shows that the
+   write was confirmed.  A confirmed look-up that found no ledger row is
+   answered as OUTCOME_NOT_RUN without a reason.  */
 static bool
-is_proof (const struct gw_job *job, const peer_executed *executed)
+confirms_primary (const struct gw_job *job, const peer_executed *executed)
 {
   if (executed->outcome == OUTCOME_DONE)
     return true;
@@ -95,8 +98,8 @@
              LOG_U ("running", instance->running),
              LOG_U ("queued", queue_count (instance->queue)));
   peers_reply (instance->gateway->peers, job->call, &body);
-  if (job->leads)
-    gw_proof_ended (job, is_proof (job, executed), executed->reason);
+  if (job->barrier_pending)
+    gw_barrier_done (job, confirms_primary (job, executed), executed->reason);
   gw_job_free (job);
 }
 
--- a/src/core/gateway_execute.c
+++ b/src/core/gateway_execute.c
@@ -48,8 +48,8 @@
     job->request_id = mem_strdup (execute->request_id);
   job->param_count = execute->params.params_len;
   job->params = copy_params (execute);
-  job->min.term = execute->min_term;
-  job->min.lsn = execute->min_lsn;
+  job->required.term = execute->min_term;
+  job->required.lsn = execute->min_lsn;
   job->max_age_ms = execute->max_age_ms;
   job->cost = cost_find (&instance->costs, execute->kind, kind->cost_ms);
   job->item.weight = instance->weight;
@@ -63,8 +63,8 @@
   return job;
 }
 
-/* Why JOB must not run under the term record known here; REASON_NONE if it
-   may.  */
+/* Returns why the locally known term record forbids JOB, or REASON_NONE if it
+   may run.  */
 static enum reason
 check_term (const struct gw_job *job)
 {
@@ -74,15 +74,16 @@
   if (record == NULL)
     return REASON_STALE_TERM;
   if (!job->read_only || job->max_age_ms == GATEWAY_STRONG)
-    return record->term > job->min.term ? REASON_STALE_TERM : REASON_NONE;
-  if (job->min.term > record->term)
+    return record->term > job->required.term ? REASON_STALE_TERM : REASON_NONE;
+  if (job->required.term > record->term)
     return REASON_STALE_TERM;
-  if (job->min.term != 0 && !term_record_holds (record, job->min))
+  if (job->required.term != 0 && !term_record_holds (record, job->required))
     return REASON_TOKEN_AHEAD;
   return REASON_NONE;
 }
 
-/* Whether a write could not be acknowledged for want of a replica.  */
+/* Returns true if JOB is a write that needs the confirmation of a replica and
+   none has confirmed writes recently.  */
 static bool
 lacks_majority (const struct gw_job *job)
 {
@@ -91,16 +92,17 @@
   if (!writes || job->ack != ACK_MAJORITY || instance->instance_count < 2)
     return false;
   return acks_stalled_ms (&instance->acks, gw_now (instance->gateway))
-         >= GW_STALLED_MS;
+         >= GW_ACK_STALL_LIMIT_MS;
 }
 
 static bool
 is_down (const struct gw_instance *instance)
 {
-  return conn_pool_open (instance->pool) == 0
-         && conn_pool_failures (instance->pool) >= GW_DOWN_FAILURES;
+  return conn_pool_open_count (instance->pool) == 0
+         && conn_pool_failures (instance->pool) >= GW_DOWN_FAILURE_COUNT;
 }
 
+/* Applies admission control to JOB and queues it.  */
 void
 gw_enqueue (struct gw_job *job)
 {
@@ -113,7 +115,7 @@
     job->item.priority = 0;
   if (instance->running < instance->slots
       && queue_count (instance->queue) == 0)
-    gw_note_wait (instance, 0);
+    gw_record_wait (instance, 0);
   if (job->tx == NULL && !plain && !job->barrier && !gw_admit (job))
     return;
   if (!queue_push (instance->queue, instance->service, &job->item))
@@ -122,7 +124,7 @@
       return;
     }
   job->state = GW_QUEUED;
-  gw_pump (instance);
+  gw_dispatch (instance);
 }
 
 static void
@@ -139,6 +141,8 @@
   gw_enqueue (job);
 }
 
+/* Delays JOB until the replica has replayed the required position, for at
+   most GATEWAY_READ_WAIT_MS.  */
 void
 gw_wait_replay (struct gw_job *job)
 {
@@ -147,7 +151,7 @@
   if (until_ms > job->item.deadline_ms)
     until_ms = job->item.deadline_ms;
   job->wait.kind = ACK_REPLAYED;
-  job->wait.position = job->min;
+  job->wait.position = job->required;
   job->wait.deadline_ms = until_ms;
   job->wait.done = on_replayed;
   if (!acks_add (&instance->acks, &job->wait))
@@ -157,10 +161,11 @@
     }
   job->state = GW_WAITING;
   job->waited = true;
-  gw_status_kick (instance);
+  gw_status_poll_soon (instance);
 }
 
-/* A read of a session that is ahead of the last report of this replica.  */
+/* Returns true if JOB is a read and its session is ahead of the last reported
+   position of this replica.  */
 static bool
 must_wait_replay (const struct gw_job *job)
 {
@@ -168,7 +173,7 @@
   if (instance->gateway->policy == POLICY_PLAIN || !job->read_only
       || instance->report_ms == 0 || instance->report.primary)
     return false;
-  return instance->report.replayed_lsn < job->min.lsn;
+  return instance->report.replayed_lsn < job->required.lsn;
 }
 
 static void
@@ -183,7 +188,7 @@
     gw_enqueue (job);
 }
 
-/* Why JOB must not start; REASON_NONE if it may.  */
+/* Returns why JOB must not start, or REASON_NONE if it may.  */
 static enum reason
 check_start (const struct gw_job *job)
 {
@@ -201,7 +206,7 @@
 }
 
 static void
-start (struct gw_job *job, const peer_execute *execute)
+start_job (struct gw_job *job, const peer_execute *execute)
 {
   bool in_transaction = job->action == PEER_IN_TRANSACTION
                         || job->action == PEER_COMMIT
@@ -221,30 +226,31 @@
 }
 
 static void
-probe_done (void *arg, enum peer_status status, const peer_message *reply)
+ignore_reply (void *arg, enum peer_status status, const peer_message *reply)
 {
   (void)arg;
   (void)status;
   (void)reply;
 }
 
-/* As second host of an instance that gets work, finds out whether the first
-   one lives; a failed call is evidence that moves it back in the order.  */
+/* Checks the first gateway host if this host is the second one and receives
+   requests.  A failed call counts as evidence of its failure, which moves it
+   back in the order of placement.  */
 static void
-probe_first (struct gw_instance *instance, const struct view_instance *at)
+probe_first_host (struct gw_instance *instance, const struct view_instance *at)
 {
   struct gateway *gateway = instance->gateway;
   const struct member *hosts[GATEWAY_HOSTS];
   clk_ms now_ms = gw_now (gateway);
   if (instance->role != GW_SECOND
-      || now_ms - gateway->first_probed_ms < GW_STATUS_MS)
+      || now_ms - gateway->first_host_probed_ms < GW_STATUS_INTERVAL_MS)
     return;
   if (gateway_hosts (gateway->members, at, hosts) == 0)
     return;
-  gateway->first_probed_ms = now_ms;
+  gateway->first_host_probed_ms = now_ms;
   peer_body body = { .kind = PEER_KIND_HEARTBEAT };
-  peers_call (gateway->peers, &hosts[0]->address, &body, GW_STATUS_MS,
-              probe_done, NULL);
+  peers_call (gateway->peers, &hosts[0]->address, &body, GW_STATUS_INTERVAL_MS,
+              ignore_reply, NULL);
 }
 
 void
@@ -261,18 +267,18 @@
       refuse_call (gateway, call, REASON_UNKNOWN_TARGET);
       return;
     }
-  struct gw_instance *instance = gw_instance_take (gateway, database, at);
+  struct gw_instance *instance = gw_instance_get (gateway, database, at);
   if (instance == NULL)
     {
       refuse_call (gateway, call, REASON_UNREACHABLE);
       return;
     }
-  instance->used_ms = gw_now (gateway);
-  probe_first (instance, at);
+  instance->last_used_ms = gw_now (gateway);
+  probe_first_host (instance, at);
   const struct view_kind *kind = view_kind (database->service, execute->kind);
   struct gw_job *job = job_new (instance, call, execute, kind);
   strncpy (job->from, message->from.host, sizeof job->from - 1);
-  start (job, execute);
+  start_job (job, execute);
 }
 
 bool
--- a/src/core/gateway_result.c
+++ b/src/core/gateway_result.c
@@ -4,8 +4,9 @@
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
+/* Answers JOB from its saved payload.  */
 void
-gw_answer_held (struct gw_job *job)
+gw_answer_deferred (struct gw_job *job)
 {
   if (job->absent)
     gw_answer (job, OUTCOME_NOT_RUN, REASON_NONE);
@@ -20,17 +21,18 @@
 {
   struct gw_job *job = gw_container (wait, struct gw_job, wait);
   if (result == ACK_REACHED)
-    gw_answer_held (job);
+    gw_answer_deferred (job);
   else if (result == ACK_TERM_MOVED)
     gw_answer (job, OUTCOME_UNKNOWN, REASON_STALE_TERM);
   else
     gw_answer (job, OUTCOME_UNKNOWN, REASON_DEADLINE);
 }
 
-/* Whether the instance that gave REPORT is known to be the primary still.  */
+/* Returns whether a recent view of the term record shows that INSTANCE, which
+   sent REPORT, is still the primary.  */
 static bool
-leads_surely (const struct gw_instance *instance,
-              const struct db_report *report)
+is_current_primary (const struct gw_instance *instance,
+                    const struct db_report *report)
 {
   const struct gateway *gateway = instance->gateway;
   const struct term_record *record
@@ -39,7 +41,7 @@
          && record->state == TERM_ACTIVE && record->term == report->term;
 }
 
-/* Whether the committed JOB may be acknowledged at once.  */
+/* Returns whether JOB, which is committed, may be acknowledged at once.  */
 static bool
 is_confirmed (const struct gw_job *job, const struct db_report *report)
 {
@@ -47,21 +49,23 @@
   if (instance->instance_count < 2 || acks_reached (&job->wait, report)
       || MUTANT (acknowledge_at_once))
     return true;
-  /* What is told as not run must stay so, whatever the kind's rule.  */
+  /* A request reported as not run must never take effect later, so a
+     tombstone needs the confirmation of a replica for every kind.  */
   return job->ack == ACK_PRIMARY && !job->tombstone
-         && leads_surely (instance, report);
+         && is_current_primary (instance, report);
 }
 
 void
-gw_keep_payload (struct gw_job *job, const struct db_result *result)
+gw_copy_payload (struct gw_job *job, const struct db_result *result)
 {
   if (result->payload_bytes > 0)
     job->payload = mem_copy (result->payload, result->payload_bytes);
   job->payload_bytes = result->payload_bytes;
 }
 
-/* Answers JOB, which has taken effect, once its acknowledgement rule is
-   met.  A stored answer is held too: its row may not be replicated yet.  */
+/* Answers JOB, which has taken effect, once its acknowledgement rule is met.
+   This applies to an answer found in the ledger too, because its row may not
+   be replicated yet.  */
 static void
 acknowledge (struct gw_job *job, const struct db_result *result)
 {
@@ -72,10 +76,10 @@
   job->wait.deadline_ms = job->item.deadline_ms;
   job->wait.done = on_confirmed;
   if (!job->barrier)
-    gw_keep_payload (job, result);
+    gw_copy_payload (job, result);
   if (is_confirmed (job, &result->report))
     {
-      gw_answer_held (job);
+      gw_answer_deferred (job);
       return;
     }
   if (!acks_add (&instance->acks, &job->wait))
@@ -86,11 +90,11 @@
       return;
     }
   job->state = GW_ACKING;
-  gw_status_kick (instance);
+  gw_status_poll_soon (instance);
 }
 
-/* Returns the term that was the last to be active, while RECORD may be that
-   of a change of primary under way.  */
+/* Returns the latest term that was active, also while RECORD describes a
+   promotion in progress.  */
 static uint64_t
 last_active_term (const struct term_record *record)
 {
@@ -103,11 +107,13 @@
   return term;
 }
 
-/* Whether REPORT, of a replica, may serve a read with a limit of age.  Its
-   lag is that behind the primary it follows, so that one must not have been
-   replaced.  The term record shows it if it is recent enough; otherwise the
-   replica does, as long as it hears from its primary and is not sealed: then
-   no majority of three instances is left for another primary.  */
+/* Checks whether the replica that sent REPORT may serve a read that limits
+   the age of its data.  The reported lag is relative to the primary that the
+   replica follows, so this primary must not have been replaced.  A term
+   record that is recent enough shows this.  Otherwise the replica shows it
+   while it receives the log of its primary and is not sealed (fenced against
+   that term): then two of three instances belong to this primary and no
+   majority is left for another one.  */
 static enum reason
 check_age (const struct gw_job *job, const struct term_record *record,
            const struct db_report *report)
@@ -124,8 +130,8 @@
   return lag_ms <= job->max_age_ms ? REASON_NONE : REASON_NO_REPLICA;
 }
 
-/* Whether it is still to be shown that the primary which served JOB had not
-   been replaced.  */
+/* Returns whether a barrier write must still confirm that the primary that
+   served JOB had not been replaced.  */
 static bool
 needs_barrier (const struct gw_job *job, const struct db_report *report)
 {
@@ -137,7 +143,7 @@
          && gw_view_age (gateway) > job->max_age_ms;
 }
 
-/* Why the answer to a read must not be given out; REASON_NONE if it may.  */
+/* Returns why the result of a read must not be used, or REASON_NONE.  */
 static enum reason
 check_read (const struct gw_job *job, const struct db_report *report)
 {
@@ -147,17 +153,17 @@
   struct position seen = { .term = report->term, .lsn = report->replayed_lsn };
   if (job->max_age_ms == GATEWAY_STRONG)
     {
-      bool current = report->primary && report->term == job->min.term;
+      bool current = report->primary && report->term == job->required.term;
       return current ? REASON_NONE : REASON_STALE_TERM;
     }
   if (record == NULL || !term_record_holds (record, seen))
     return REASON_STALE_TERM;
   if (job->max_age_ms > 0 && report->primary && report->term < record->term)
     return REASON_STALE_TERM;
-  if (job->min.term != 0 && !term_record_holds (record, job->min))
+  if (job->required.term != 0 && !term_record_holds (record, job->required))
     return REASON_TOKEN_AHEAD;
-  bool behind
-      = report->term < job->min.term || report->replayed_lsn < job->min.lsn;
+  bool behind = report->term < job->required.term
+                || report->replayed_lsn < job->required.lsn;
   if (behind && !MUTANT (skip_position_check))
     return REASON_NO_REPLICA;
   if (job->max_age_ms > 0 && !report->primary)
@@ -165,16 +171,16 @@
   return REASON_NONE;
 }
 
-/* Answers a read.  One of a primary that may have been replaced must not
-   show writes that no replica has, as their callers may be told that they
-   were not run.  */
+/* Answers a read.  A primary that may have been replaced must not expose
+   writes that no replica has received, because these may be reported to their
+   callers as not run.  */
 static void
-give_read (struct gw_job *job, const struct db_result *result)
+answer_read (struct gw_job *job, const struct db_result *result)
 {
   const struct db_report *report = &result->report;
   if (needs_barrier (job, report))
-    gw_prove (job, result);
-  else if (!report->primary || leads_surely (job->instance, report))
+    gw_barrier_wait (job, result);
+  else if (!report->primary || is_current_primary (job->instance, report))
     gw_answer_result (job, OUTCOME_DONE, REASON_NONE, result);
   else
     {
@@ -192,12 +198,12 @@
     case DB_OK:
       reason = check_read (job, &result->report);
       if (reason == REASON_NONE)
-        give_read (job, result);
+        answer_read (job, result);
       else
         gw_refuse (job, reason, 0);
       return;
     case DB_REFUSED:
-      if (job->waited || job->min.lsn == 0)
+      if (job->waited || job->required.lsn == 0)
         gw_refuse (job, REASON_NO_REPLICA, 0);
       else
         gw_wait_replay (job);
@@ -253,14 +259,14 @@
   bool lost = result->status != DB_OK && result->status != DB_NOT_FOUND;
   if (lost)
     gw_refuse (job, REASON_CONNECTION_LOST, 0);
-  else if (!report->primary || report->term != job->min.term)
+  else if (!report->primary || report->term != job->required.term)
     gw_refuse (job, REASON_STALE_TERM, 0);
   else if (result->status == DB_NOT_FOUND && MUTANT (trust_absence))
     gw_answer_result (job, OUTCOME_NOT_RUN, REASON_NONE, result);
   else if (result->status == DB_NOT_FOUND)
     {
       job->absent = true;
-      gw_prove (job, result);
+      gw_barrier_wait (job, result);
     }
   else
     {
@@ -289,7 +295,7 @@
             const struct db_result *result)
 {
   bool current = result->status == DB_OK && result->report.primary
-                 && result->report.term == job->min.term;
+                 && result->report.term == job->required.term;
   if (current)
     {
       gw_tx_opened (job, conn);
@@ -311,7 +317,7 @@
   if (tx != NULL)
     {
       tx->job = NULL;
-      tx->used_ms = gw_now (job->instance->gateway);
+      tx->last_used_ms = gw_now (job->instance->gateway);
       if (!lost)
         conn_pool_set_user (conn, &tx->user);
       if (lost || ends)
@@ -321,7 +327,7 @@
         }
     }
   else if (!lost && job->action != PEER_BEGIN)
-    conn_pool_give (conn);
+    conn_pool_release (conn);
   if (job->action == PEER_BEGIN)
     begin_done (job, conn, result);
   else if (job->action == PEER_LOOKUP && !job->barrier)
@@ -348,9 +354,9 @@
   bool ran = result->status == DB_OK || result->status == DB_SQL_ERROR;
   if (ran && job->action == PEER_STATEMENT && job->statement[0] != '\0')
     cost_observe (&instance->costs, job->cost, spent_ms);
-  gw_note_report (instance, &result->report);
+  gw_record_report (instance, &result->report);
   finish (job, conn, result);
-  gw_pump (instance);
+  gw_dispatch (instance);
 }
 
 static void
--- a/src/core/gateway_run.c
+++ b/src/core/gateway_run.c
@@ -40,9 +40,9 @@
     .run_limit_ms = job->item.deadline_ms - gw_now (instance->gateway),
   };
   if (!job->read_only)
-    db_job.term = MUTANT (skip_term_check) ? 0 : job->min.term;
+    db_job.term = MUTANT (skip_term_check) ? 0 : job->required.term;
   else if (job->max_age_ms != GATEWAY_STRONG)
-    db_job.min_lsn = MUTANT (skip_position_check) ? 0 : job->min.lsn;
+    db_job.min_lsn = MUTANT (skip_position_check) ? 0 : job->required.lsn;
   job->conn = conn;
   job->state = GW_RUNNING;
   job->started_ms = gw_now (instance->gateway);
@@ -52,9 +52,9 @@
   conn_pool_submit (conn, &db_job);
 }
 
-/* Whether JOB can no longer finish; refuses it then.  */
+/* Refuses JOB if its deadline has passed; returns whether it did.  */
 static bool
-drop_late (struct gw_job *job)
+refuse_if_expired (struct gw_job *job)
 {
   clk_ms now_ms = gw_now (job->instance->gateway);
   if (now_ms < job->item.deadline_ms)
@@ -64,48 +64,49 @@
 }
 
 static void
-run_next (struct gw_instance *instance, struct gw_job *job)
+dispatch_job (struct gw_instance *instance, struct gw_job *job)
 {
-  gw_note_wait (instance, gw_now (instance->gateway) - job->item.enqueued_ms);
-  if (drop_late (job))
+  gw_record_wait (instance,
+                  gw_now (instance->gateway) - job->item.enqueued_ms);
+  if (refuse_if_expired (job))
     return;
   if (job->tx != NULL)
     {
       gw_run (job, job->tx->conn);
       return;
     }
-  struct pool_conn *conn = conn_pool_take (instance->pool, &job->user);
+  struct pool_conn *conn = conn_pool_acquire (instance->pool, &job->user);
   if (conn != NULL)
     {
       gw_run (job, conn);
       return;
     }
   queue_push (instance->queue, instance->service, &job->item);
-  instance->starved = true;
+  instance->conn_exhausted = true;
 }
 
 void
-gw_pump (struct gw_instance *instance)
+gw_dispatch (struct gw_instance *instance)
 {
-  if (instance->pumping)
+  if (instance->dispatching)
     return;
-  instance->pumping = true;
-  instance->starved = false;
-  while (instance->running < instance->slots && !instance->starved)
+  instance->dispatching = true;
+  instance->conn_exhausted = false;
+  while (instance->running < instance->slots && !instance->conn_exhausted)
     {
       struct queue_item *item
           = queue_pop (instance->queue, gw_may_run_long (instance));
       if (item == NULL)
         break;
-      run_next (instance, (struct gw_job *)item);
+      dispatch_job (instance, (struct gw_job *)item);
     }
-  instance->pumping = false;
+  instance->dispatching = false;
 }
 
-/* Ends a job that still runs after its deadline.  Its connection is closed,
-   so that the answer can reach nobody else.  */
+/* Aborts a job that is still running after its deadline.  Its connection is
+   closed so that a late answer cannot be delivered to another job.  */
 static void
-cut_off (struct gw_job *job)
+abort_job (struct gw_job *job)
 {
   struct gw_instance *instance = job->instance;
   struct gw_tx *tx = job->tx;
@@ -134,11 +135,11 @@
       queue_remove (instance->queue, &job->item);
       gw_refuse (job, late ? REASON_DEADLINE : REASON_UNREACHABLE, 0);
     }
-  else if (job->state == GW_PROVING && late)
+  else if (job->state == GW_BARRIER && late)
     gw_answer (job, OUTCOME_UNKNOWN, REASON_DEADLINE);
   else if (job->state == GW_RUNNING
            && now_ms >= job->item.deadline_ms + GW_RUN_GRACE_MS)
-    cut_off (job);
+    abort_job (job);
 }
 
 static void
@@ -149,7 +150,7 @@
   struct gw_job *job, *next;
   acks_expire (&instance->acks, now_ms);
   DL_FOREACH_SAFE (instance->jobs, job, next) { sweep_job (job, now_ms); }
-  gw_pump (instance);
+  gw_dispatch (instance);
   gw_sweep_start (instance);
 }
 
@@ -162,5 +163,5 @@
   instance->sweep_timer.fire = on_sweep;
   instance->sweep_timer.arg = instance;
   kernel_timer_set (kernel, &instance->sweep_timer,
-                    kernel_now (kernel) + GW_SWEEP_MS);
+                    kernel_now (kernel) + GW_SWEEP_INTERVAL_MS);
 }
--- a/src/core/gateway_status.c
+++ b/src/core/gateway_status.c
@@ -17,7 +17,7 @@
 }
 
 void
-gw_note_report (struct gw_instance *instance, const struct db_report *report)
+gw_record_report (struct gw_instance *instance, const struct db_report *report)
 {
   clk_ms now_ms = gw_now (instance->gateway);
   if (report->term == 0)
@@ -28,49 +28,49 @@
 }
 
 static void
-drop_control (struct gw_instance *instance)
+drop_status_conn (struct gw_instance *instance)
 {
-  if (instance->control != NULL)
-    conn_pool_discard (instance->control);
-  instance->control = NULL;
+  if (instance->status_conn != NULL)
+    conn_pool_discard (instance->status_conn);
+  instance->status_conn = NULL;
   instance->polling = false;
 }
 
 static void
-control_done (struct pool_user *user, struct pool_conn *conn,
-              const struct db_result *result)
+on_status_done (struct pool_user *user, struct pool_conn *conn,
+                const struct db_result *result)
 {
   struct gw_instance *instance
-      = gw_container (user, struct gw_instance, control_user);
+      = gw_container (user, struct gw_instance, status_user);
   instance->polling = false;
-  instance->control = conn;
+  instance->status_conn = conn;
   if (conn == NULL)
     return;
-  gw_note_report (instance, &result->report);
+  gw_record_report (instance, &result->report);
   if (instance->acks.count > 0)
-    gw_status_kick (instance);
+    gw_status_poll_soon (instance);
 }
 
 static void
-control_closed (struct pool_user *user)
+on_status_closed (struct pool_user *user)
 {
   struct gw_instance *instance
-      = gw_container (user, struct gw_instance, control_user);
-  instance->control = NULL;
+      = gw_container (user, struct gw_instance, status_user);
+  instance->status_conn = NULL;
   instance->polling = false;
 }
 
-static const struct pool_user_ops control_ops
-    = { .done = control_done, .closed = control_closed };
+static const struct pool_user_ops status_ops
+    = { .done = on_status_done, .closed = on_status_closed };
 
-/* Whether it is time to delete old rows of the ledger.  */
+/* Returns whether old rows of the ledger are to be deleted now.  */
 static bool
 purge_due (struct gw_instance *instance, clk_ms now_ms)
 {
-  bool kept = instance->gateway->ledger_retention_ms == 0;
-  if (kept || !instance->report.primary || instance->role != GW_FIRST)
+  bool keep_forever = instance->gateway->ledger_retention_ms == 0;
+  if (keep_forever || !instance->report.primary || instance->role != GW_FIRST)
     return false;
-  return now_ms - instance->purged_ms >= GW_PURGE_MS;
+  return now_ms - instance->purged_ms >= GW_PURGE_INTERVAL_MS;
 }
 
 static void
@@ -78,10 +78,10 @@
 {
   clk_ms now_ms = gw_now (instance->gateway);
   struct db_job job = { .kind = DB_STATUS };
-  if (instance->control == NULL)
-    instance->control
-        = conn_pool_take (instance->pool, &instance->control_user);
-  if (instance->control == NULL)
+  if (instance->status_conn == NULL)
+    instance->status_conn
+        = conn_pool_acquire (instance->pool, &instance->status_user);
+  if (instance->status_conn == NULL)
     return;
   if (purge_due (instance, now_ms))
     {
@@ -91,7 +91,7 @@
     }
   instance->polling = true;
   instance->polled_ms = now_ms;
-  conn_pool_submit (instance->control, &job);
+  conn_pool_submit (instance->status_conn, &job);
 }
 
 static bool
@@ -99,7 +99,7 @@
 {
   if (instance->acks.count > 0)
     return true;
-  bool used = now_ms - instance->used_ms < GW_UNUSED_MS;
+  bool used = now_ms - instance->last_used_ms < GW_UNUSED_TIMEOUT_MS;
   return instance->role == GW_FIRST || (instance->role == GW_SECOND && used);
 }
 
@@ -109,11 +109,12 @@
   struct gw_instance *instance = arg;
   struct kernel *kernel = instance->gateway->base.kernel;
   clk_ms now_ms = kernel_now (kernel);
-  kernel_timer_set (kernel, &instance->status_timer, now_ms + GW_STATUS_MS);
+  kernel_timer_set (kernel, &instance->status_timer,
+                    now_ms + GW_STATUS_INTERVAL_MS);
   acks_expire (&instance->acks, now_ms);
   if (instance->polling
       && now_ms - instance->polled_ms >= GW_STATUS_TIMEOUT_MS)
-    drop_control (instance);
+    drop_status_conn (instance);
   if (!instance->polling && poll_wanted (instance, now_ms))
     poll_now (instance);
 }
@@ -123,18 +124,19 @@
 {
   struct kernel *kernel = instance->gateway->base.kernel;
   clk_ms now_ms = kernel_now (kernel);
-  instance->control_user.ops = &control_ops;
+  instance->status_user.ops = &status_ops;
   instance->status_timer.fire = on_status_timer;
   instance->status_timer.arg = instance;
   instance->purged_ms = now_ms;
   kernel_timer_set (kernel, &instance->status_timer, now_ms);
 }
 
+/* Moves the next status query forward, because an answer waits for it.  */
 void
-gw_status_kick (struct gw_instance *instance)
+gw_status_poll_soon (struct gw_instance *instance)
 {
   struct kernel *kernel = instance->gateway->base.kernel;
-  clk_ms due_ms = instance->polled_ms + GW_ACK_POLL_MS;
+  clk_ms due_ms = instance->polled_ms + GW_ACK_POLL_INTERVAL_MS;
   if (instance->polling || instance->status_timer.due_ms <= due_ms)
     return;
   if (due_ms < kernel_now (kernel))
@@ -147,5 +149,5 @@
 {
   kernel_timer_cancel (instance->gateway->base.kernel,
                        &instance->status_timer);
-  drop_control (instance);
+  drop_status_conn (instance);
 }
--- a/src/core/gateway_tx.c
+++ b/src/core/gateway_tx.c
@@ -20,24 +20,24 @@
   return instance->tx_count;
 }
 
-/* The connection was rolled back for reuse.  */
+/* Called after the rollback that resets a connection for reuse.  */
 static void
-reset_done (struct pool_user *user, struct pool_conn *conn,
-            const struct db_result *result)
+on_reset_done (struct pool_user *user, struct pool_conn *conn,
+               const struct db_result *result)
 {
   struct gw_tx *tx = gw_container (user, struct gw_tx, user);
   struct gw_instance *instance = tx->instance;
   if (conn != NULL && result->status == DB_OK)
-    conn_pool_give (conn);
+    conn_pool_release (conn);
   else if (conn != NULL)
     conn_pool_discard (conn);
   instance->tx_count--;
   tx_free (tx);
-  gw_pump (instance);
+  gw_dispatch (instance);
 }
 
 static void
-conn_closed (struct pool_user *user)
+on_conn_closed (struct pool_user *user)
 {
   struct gw_tx *tx = gw_container (user, struct gw_tx, user);
   tx->conn = NULL;
@@ -50,29 +50,29 @@
   gw_tx_ended (tx, true);
 }
 
-static const struct pool_user_ops tx_ops
-    = { .done = reset_done, .closed = conn_closed };
+static const struct pool_user_ops tx_user_ops
+    = { .done = on_reset_done, .closed = on_conn_closed };
 
 void
 gw_tx_begin (struct gw_job *job)
 {
   struct gw_instance *instance = job->instance;
-  uint32_t room = conn_pool_used (instance->pool);
+  uint32_t pool_size = conn_pool_total_count (instance->pool);
   if (instance->tx_count >= GW_TX_LIMIT
       || instance->tx_count + instance->slots + 1
              >= conn_pool_limit (instance->pool))
     {
       metrics_count (kernel_metrics (instance->gateway->base.kernel),
                      "gateway_transactions_limit_total");
-      gw_refuse (job, REASON_OVERLOAD, GW_STATUS_MS);
+      gw_refuse (job, REASON_OVERLOAD, GW_STATUS_INTERVAL_MS);
       return;
     }
-  conn_pool_want (instance->pool, room + 1);
+  conn_pool_set_wanted (instance->pool, pool_size + 1);
   gw_enqueue (job);
 }
 
 static struct gw_tx *
-find (struct gateway *gateway, uint64_t id)
+find_tx (struct gateway *gateway, uint64_t id)
 {
   struct gw_tx *tx = NULL;
   HASH_FIND (hh, gateway->transactions, &id, sizeof id, tx);
@@ -85,15 +85,15 @@
   struct gw_instance *instance = job->instance;
   struct gateway *gateway = instance->gateway;
   struct gw_tx *tx = mem_zalloc (sizeof *tx);
-  tx->user.ops = &tx_ops;
+  tx->user.ops = &tx_user_ops;
   do
     tx->id = rng_u64 (kernel_rng (gateway->base.kernel));
-  while (tx->id == 0 || find (gateway, tx->id) != NULL);
+  while (tx->id == 0 || find_tx (gateway, tx->id) != NULL);
   tx->instance = instance;
   tx->conn = conn;
-  tx->term = job->min.term;
-  tx->heard_ms = gw_now (gateway);
-  tx->used_ms = tx->heard_ms;
+  tx->term = job->required.term;
+  tx->last_contact_ms = gw_now (gateway);
+  tx->last_used_ms = tx->last_contact_ms;
   memcpy (tx->entry_host, job->from, sizeof tx->entry_host);
   HASH_ADD (hh, gateway->transactions, id, sizeof tx->id, tx);
   conn_pool_set_user (conn, &tx->user);
@@ -101,7 +101,7 @@
   job->tx = tx;
 }
 
-/* Ends TX; its connection is reset for reuse unless it is LOST.  */
+/* Ends TX.  Its connection is reset for reuse unless it is LOST.  */
 void
 gw_tx_ended (struct gw_tx *tx, bool lost)
 {
@@ -115,20 +115,20 @@
   if (MUTANT (reuse_dirty_connection))
     {
       tx->instance->tx_count--;
-      conn_pool_give (tx->conn);
+      conn_pool_release (tx->conn);
       tx_free (tx);
       return;
     }
-  tx->ending = true;
+  tx->resetting = true;
   conn_pool_submit (tx->conn, &job);
 }
 
 void
 gw_tx_submit (struct gw_job *job, uint64_t id)
 {
-  struct gw_tx *tx = find (job->instance->gateway, id);
+  struct gw_tx *tx = find_tx (job->instance->gateway, id);
   bool usable = tx != NULL && tx->instance == job->instance && tx->conn != NULL
-                && tx->job == NULL && !tx->ending;
+                && tx->job == NULL && !tx->resetting;
   if (!usable)
     {
       gw_refuse (job, REASON_BAD_TRANSACTION, 0);
@@ -136,10 +136,10 @@
     }
   job->tx = tx;
   tx->job = job;
-  tx->heard_ms = gw_now (job->instance->gateway);
-  tx->used_ms = tx->heard_ms;
+  tx->last_contact_ms = gw_now (job->instance->gateway);
+  tx->last_used_ms = tx->last_contact_ms;
   memcpy (tx->entry_host, job->from, sizeof tx->entry_host);
-  job->min.term = tx->term;
+  job->required.term = tx->term;
   job->item.priority = GW_URGENT_PRIORITY;
   gw_enqueue (job);
 }
@@ -164,17 +164,17 @@
   struct gw_tx *tx, *next;
   HASH_ITER (hh, gateway->transactions, tx, next)
   {
-    if (tx->job != NULL || tx->ending)
+    if (tx->job != NULL || tx->resetting)
       continue;
-    if (now_ms - tx->heard_ms >= GW_TX_HEARTBEAT_MS)
-      roll_back (tx, "entry host silent");
-    else if (now_ms - tx->used_ms >= GW_TX_IDLE_MS)
+    if (now_ms - tx->last_contact_ms >= GW_TX_HEARTBEAT_TIMEOUT_MS)
+      roll_back (tx, "no heartbeat from entry host");
+    else if (now_ms - tx->last_used_ms >= GW_TX_IDLE_TIMEOUT_MS)
       roll_back (tx, "idle");
   }
 }
 
-/* Answers with the transactions of that host that are still open, and the
-   state of the instances that are placed here.  */
+/* Answers with those transactions of HEARTBEAT that are still open and the
+   state of the instances of this host that have sent a report.  */
 static void
 answer_heartbeat (struct gateway *gateway, uint64_t call,
                   const peer_heartbeat *heartbeat)
@@ -188,7 +188,7 @@
   answer->transactions.transactions_val = open;
   answer->instances.instances_val = states;
   for (u_int i = 0; i < count; i++)
-    if (find (gateway, heartbeat->transactions.transactions_val[i]) != NULL)
+    if (find_tx (gateway, heartbeat->transactions.transactions_val[i]) != NULL)
       open[answer->transactions.transactions_len++]
           = heartbeat->transactions.transactions_val[i];
   for (struct gw_instance *instance = gateway->instances; instance != NULL;
@@ -209,9 +209,9 @@
   for (u_int i = 0; i < heartbeat->transactions.transactions_len; i++)
     {
       struct gw_tx *tx
-          = find (gateway, heartbeat->transactions.transactions_val[i]);
+          = find_tx (gateway, heartbeat->transactions.transactions_val[i]);
       if (tx != NULL && strcmp (tx->entry_host, message->from.host) == 0)
-        tx->heard_ms = now_ms;
+        tx->last_contact_ms = now_ms;
     }
   if (heartbeat->leaving)
     members_leaving (gateway->members, message->from.host,
--- a/src/core/queue.c
+++ b/src/core/queue.c
@@ -15,7 +15,7 @@
 {
   char name[FLOW_NAME_BYTES];
   uint32_t weight;
-  int64_t served_us; /* virtual time: cost served by weight */
+  int64_t served_us; /* virtual time: cost served, divided by weight */
   struct queue_item *items[CLASSES];
   struct queue_flow *next;
 };
@@ -25,7 +25,7 @@
   size_t limit;
   size_t count;
   size_t flow_count;
-  int64_t now_us; /* virtual time of the latest flow served */
+  int64_t now_us; /* virtual time of the flow served last */
   int64_t cost_us[CLASSES];
   struct queue_flow *flows;
 };
@@ -65,7 +65,7 @@
 }
 
 static struct queue_flow *
-take_flow (struct queue *queue, const char *name)
+get_flow (struct queue *queue, const char *name)
 {
   struct queue_flow *flow = find_flow (queue, name);
   if (flow != NULL)
@@ -79,11 +79,12 @@
   return flow;
 }
 
-/* Items of one flow are served by rising rank.  */
+/* Returns the rank of an item within its flow.  Items of one flow are served
+   in ascending order of rank.  */
 static clk_ms
 rank (clk_ms enqueued_ms, uint32_t priority)
 {
-  return enqueued_ms - (clk_ms)priority * QUEUE_LEVEL_MS;
+  return enqueued_ms - (clk_ms)priority * QUEUE_PRIORITY_STEP_MS;
 }
 
 static clk_ms
@@ -109,7 +110,7 @@
 {
   if (queue->count >= queue->limit)
     return false;
-  struct queue_flow *flow = take_flow (queue, name);
+  struct queue_flow *flow = get_flow (queue, name);
   bool idle = flow->items[SHORT] == NULL && flow->items[LONG] == NULL;
   if (idle && flow->served_us < queue->now_us)
     flow->served_us = queue->now_us;
@@ -130,29 +131,29 @@
 }
 
 static struct queue_item *
-flow_head (const struct queue_flow *flow, bool take_long)
+flow_head (const struct queue_flow *flow, bool allow_long)
 {
   struct queue_item *a = flow->items[SHORT];
-  struct queue_item *b = take_long ? flow->items[LONG] : NULL;
+  struct queue_item *b = allow_long ? flow->items[LONG] : NULL;
   if (a == NULL || b == NULL)
     return a != NULL ? a : b;
   return item_rank (b) < item_rank (a) ? b : a;
 }
 
 struct queue_item *
-queue_pop (struct queue *queue, bool take_long)
+queue_pop (struct queue *queue, bool allow_long)
 {
   struct queue_flow *flow, *best = NULL;
   LL_FOREACH (queue->flows, flow)
   {
-    if (flow_head (flow, take_long) == NULL)
+    if (flow_head (flow, allow_long) == NULL)
       continue;
     if (best == NULL || flow->served_us < best->served_us)
       best = flow;
   }
   if (best == NULL)
     return NULL;
-  struct queue_item *item = flow_head (best, take_long);
+  struct queue_item *item = flow_head (best, allow_long);
   queue_remove (queue, item);
   queue->now_us = best->served_us;
   best->served_us += item->cost_us / best->weight;
@@ -166,8 +167,8 @@
 }
 
 int64_t
-queue_ahead_us (const struct queue *queue, const char *name, uint32_t priority,
-                clk_ms now_ms)
+queue_cost_ahead_us (const struct queue *queue, const char *name,
+                     uint32_t priority, clk_ms now_ms)
 {
   const struct queue_flow *own = find_flow (queue, name);
   const struct queue_flow *flow;
@@ -184,13 +185,14 @@
         own_us += item->cost_us;
     }
   }
-  /* Fair sharing lets another flow go first only as far as this one.  */
+  /* With fair queueing, other flows are served before the item only to the
+     same extent as its own flow.  */
   int64_t fair_us = own_us > 0 ? own_us : 0;
   return own_us + (other_us < fair_us ? other_us : fair_us);
 }
 
 int64_t
-queue_long_us (const struct queue *queue)
+queue_long_cost_us (const struct queue *queue)
 {
   return queue->cost_us[LONG];
 }
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -1,9 +1,10 @@
-/* queue - requests that wait for a slot of one instance.
+/* queue - bounded queue of requests waiting for a slot of one instance.
 
-   Bounded.  Between flows (services) the order is weighted fair; within a
-   flow it follows priority, where each level counts as QUEUE_LEVEL_MS of
-   waiting, so that nothing waits for ever.  Long requests are kept apart:
-   the caller of queue_pop says whether one may be taken.  */
+   Flows (one for each service) share the slots by weighted fair queueing.
+   Within a flow, items are ordered by priority and waiting time: one priority
+   level counts as QUEUE_PRIORITY_STEP_MS of waiting, so low priorities are
+   not starved.  Long requests are stored separately; the caller of queue_pop
+   decides whether it may return one.  */
 
 #ifndef SAVORYWAY_CORE_QUEUE_H
 #define SAVORYWAY_CORE_QUEUE_H
@@ -14,12 +15,15 @@
 
 #include "kernel/clock.h"
 
-#define QUEUE_LEVEL_MS 100
+#define QUEUE_PRIORITY_STEP_MS 100
+
+/* Items of further flows are added to the first flow.  */
 #define QUEUE_FLOW_LIMIT 64
 
 struct queue_flow;
 
-/* Embed in what is queued; set the first six members before queue_push.  */
+/* Embed this in the queued object.  Set the first six members before calling
+   queue_push; the others belong to the queue.  */
 struct queue_item
 {
   uint32_t weight; /* of its flow, at least 1 */
@@ -35,27 +39,33 @@
 
 struct queue;
 
+/* Creates a queue for at most LIMIT items.  */
 struct queue *queue_new (size_t limit);
+
+/* Frees the queue, but not the items in it.  */
 void queue_free (struct queue *queue);
 
-/* Adds ITEM to the flow named FLOW; false if the queue is full.  */
+/* Adds ITEM to the flow named FLOW.  Returns false if the queue is full.  */
 bool queue_push (struct queue *queue, const char *flow,
                  struct queue_item *item);
 
-/* Takes the next item out; NULL if there is none.  */
-struct queue_item *queue_pop (struct queue *queue, bool take_long);
+/* Removes and returns the next item; NULL if there is none.  Long items are
+   considered only if ALLOW_LONG is set.  */
+struct queue_item *queue_pop (struct queue *queue, bool allow_long);
 
 void queue_remove (struct queue *queue, struct queue_item *item);
 
 size_t queue_count (const struct queue *queue);
 
-/* Cost of the short requests that an item of PRIORITY and FLOW, queued now,
-   would find before it.  */
-int64_t queue_ahead_us (const struct queue *queue, const char *flow,
-                        uint32_t priority, clk_ms now_ms);
-int64_t queue_long_us (const struct queue *queue);
+/* Returns the total cost of the short items that would be served before a
+   short item of FLOW with PRIORITY enqueued at NOW_MS.  */
+int64_t queue_cost_ahead_us (const struct queue *queue, const char *flow,
+                             uint32_t priority, clk_ms now_ms);
+
+/* Returns the total cost of the long items.  */
+int64_t queue_long_cost_us (const struct queue *queue);
 
-/* Calls FN for each item; FN may remove that item.  */
+/* Calls FN for each item.  FN may remove that item from the queue.  */
 void queue_each (struct queue *queue,
                  void (*fn) (void *arg, struct queue_item *item), void *arg);
 
--- a/tests/unit/test_gateway.c
+++ b/tests/unit/test_gateway.c
@@ -25,13 +25,13 @@
 }
 
 static size_t
-pop (struct queue *queue, bool take_long)
+pop (struct queue *queue, bool allow_long)
 {
-  struct queue_item *item = queue_pop (queue, take_long);
+  struct queue_item *item = queue_pop (queue, allow_long);
   return item == NULL ? ITEMS : (size_t)(item - items);
 }
 
-UNIT_TEST (test_queue_shares_by_weight_whatever_the_backlog)
+UNIT_TEST (test_queue_shares_by_weight_regardless_of_backlog)
 {
   struct queue *queue = queue_new (ITEMS);
   for (size_t i = 0; i < 8; i++)
@@ -47,13 +47,13 @@
   queue_free (queue);
 }
 
-UNIT_TEST (test_queue_ages_and_keeps_long_ones_apart)
+UNIT_TEST (test_queue_ages_items_and_separates_long_ones)
 {
   struct queue *queue = queue_new (ITEMS);
   push (queue, 0, "f", 1, 0, true, 0);
   push (queue, 1, "f", 1, 0, false, 10);
   push (queue, 2, "f", 1, 3, false, 20);
-  push (queue, 3, "f", 1, 3, false, (clk_ms)5 * QUEUE_LEVEL_MS);
+  push (queue, 3, "f", 1, 3, false, (clk_ms)5 * QUEUE_PRIORITY_STEP_MS);
   ck_assert_uint_eq (pop (queue, false), 2);
   ck_assert_uint_eq (pop (queue, true), 0);
   ck_assert_uint_eq (pop (queue, false), 1);
@@ -62,7 +62,7 @@
   queue_free (queue);
 }
 
-UNIT_TEST (test_cost_is_learned_and_tells_long_kinds)
+UNIT_TEST (test_cost_estimate_adapts_and_classifies_long_kinds)
 {
   struct cost_table table;
   cost_init (&table);
@@ -87,7 +87,7 @@
   cost_clear (&table);
 }
 
-UNIT_TEST (test_retries_stay_a_share_of_fresh_traffic)
+UNIT_TEST (test_retries_are_limited_to_a_share_of_requests)
 {
   struct retry_budget budget;
   struct rng rng;
@@ -124,7 +124,7 @@
                 NULL, NULL, deadline_ms);
 }
 
-UNIT_TEST (test_connections_are_there_ahead_of_need_and_open_few_at_a_time)
+UNIT_TEST (test_connections_open_in_advance_a_few_at_a_time)
 {
   start_rig (&sizes[0]);
   struct sim_instance *primary = rig_instance (rig, 0, 0);
@@ -140,7 +140,7 @@
   rig_free (rig);
 }
 
-UNIT_TEST (test_no_storm_after_the_instance_returns)
+UNIT_TEST (test_no_reconnect_storm_after_instance_restart)
 {
   start_rig (&sizes[1]);
   struct sim_instance *primary = rig_instance (rig, 0, 0);
@@ -156,7 +156,7 @@
   rig_free (rig);
 }
 
-UNIT_TEST (test_what_cannot_finish_in_time_is_refused_at_once)
+UNIT_TEST (test_request_that_cannot_meet_its_deadline_is_refused)
 {
   start_rig (&sizes[0]);
   submit_many (64, "release", "put k v 50", 2000);
@@ -197,7 +197,7 @@
   rig_free (rig);
 }
 
-UNIT_TEST (test_stored_answer_waits_for_its_replica_too)
+UNIT_TEST (test_stored_answer_waits_for_replica_confirmation)
 {
   start_rig (&sizes[0]);
   for (int z = 1; z < 4; z++)
@@ -216,7 +216,7 @@
   rig_free (rig);
 }
 
-UNIT_TEST (test_one_confirmed_write_proves_many_strong_reads)
+UNIT_TEST (test_one_barrier_write_covers_many_strong_reads)
 {
   start_rig (&sizes[0]);
   submit_many (64, "exact", "get k 2", 2000);
