--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -32,7 +32,7 @@
    its view of a term record for ACK_PRIMARY and strong reads.  A promotion
    relies on this limit: once it has passed, no host acknowledges writes of
    the previous term on the strength of an old view.  */
-#define ACK_WINDOW_MS 3000
+#define TERM_VIEW_MAX_AGE_MS 3000
 
 /* Part of that age reserved for sending the answer from the gateway to the
    caller.  */
@@ -43,11 +43,11 @@
    limits the lag of a replica.  For writes, look-ups and strong reads,
    min_term is the required term; for other reads, min_term and min_lsn are
    the position of the session.  */
-#define GATEWAY_STRONG (-1)
+#define GATEWAY_STRONG_READ (-1)
 
 /* Time that a read may wait for the replica to replay up to the position of
    the session.  */
-#define GATEWAY_READ_WAIT_MS 100
+#define GATEWAY_REPLAY_WAIT_MS 100
 
 /* Default age at which rows of the ledger, the table of request ids and their
    stored answers, are deleted.  */
--- a/src/core/gateway_impl.h
+++ b/src/core/gateway_impl.h
@@ -90,7 +90,7 @@
   char *statement;
   size_t param_count;
   char **params;
-  struct position required; /* see GATEWAY_STRONG */
+  struct position required; /* see GATEWAY_STRONG_READ */
   clk_ms max_age_ms;
   clk_ms started_ms;
   struct cost_kind *cost;
