--- a/src/core/gateway_admit.c
+++ b/src/core/gateway_admit.c
@@ -14,7 +14,8 @@
 #define OVERLOAD_EXIT_REFUSAL_DIVISOR 4
 #define OVERLOAD_EXIT_WINDOWS 5
 
-/* An estimate that exceeds the deadline is lowered by this part.  */
+/* An estimate that exceeds the deadline is lowered by
+   1 / COST_DECAY_DIVISOR.  */
 #define COST_DECAY_DIVISOR 4
 
 /* Returns the number of slots that long jobs may use.  */
@@ -41,9 +42,9 @@
     left--;
     if (job->item.is_long != is_long)
       continue;
-    int64_t spent_us = (now_ms - job->started_ms) * US_PER_MS;
-    if (job->item.cost_us > spent_us)
-      sum_us += job->item.cost_us - spent_us;
+    int64_t elapsed_us = (now_ms - job->started_ms) * US_PER_MS;
+    if (job->item.cost_us > elapsed_us)
+      sum_us += job->item.cost_us - elapsed_us;
   }
   return sum_us;
 }
@@ -120,7 +121,7 @@
   int64_t wait_us = expected_wait_us (job);
   int64_t left_us = (job->item.deadline_ms - gw_now (gateway)) * US_PER_MS;
   clk_ms retry_ms = wait_us / US_PER_MS + 1;
-  /* An idle instance accepts the job even so; otherwise a cost estimate that
+  /* An idle instance accepts such a job; otherwise a cost estimate that
      rose while the instance was stalled would never be corrected.  */
   bool idle = instance->running == 0 && queue_count (instance->queue) == 0;
   if (wait_us + job->item.cost_us > left_us && (!idle || left_us <= 0))
--- a/src/core/gateway_impl.h
+++ b/src/core/gateway_impl.h
@@ -102,7 +102,7 @@
   bool waited;                  /* has waited for replay; done only once */
   bool barrier;                 /* has become a barrier write */
   bool absent;                  /* the look-up found no ledger row */
-  bool barrier_pending;         /* its barrier write has not ended yet */
+  bool barrier_pending;         /* is a barrier write without a result yet */
   struct gw_job **barrier_list; /* that contains it; NULL if none */
   struct gw_job *barrier_prev;
   struct gw_job *barrier_next;
@@ -120,7 +120,7 @@
   struct pool_conn *conn; /* NULL after it was lost */
   char entry_host[NAME_BYTES];
   uint64_t term;
-  clk_ms last_contact_ms; /* last message of the entry host */
+  clk_ms last_contact_ms; /* last message from the entry host */
   clk_ms last_used_ms;
   struct gw_job *job; /* queued or running; NULL if idle */
   bool resetting;     /* being rolled back to reuse the connection */
@@ -259,7 +259,7 @@
 void gw_tx_begin (struct gw_job *job);
 void gw_tx_submit (struct gw_job *job, uint64_t id);
 void gw_tx_opened (struct gw_job *job, struct pool_conn *conn);
-void gw_tx_ended (struct gw_tx *tx, bool lost);
+void gw_tx_end (struct gw_tx *tx, bool lost);
 void gw_tx_sweep (struct gateway *gateway);
 uint32_t gw_tx_count (const struct gw_instance *instance);
 void gw_on_heartbeat (void *arg, uint64_t call, const peer_message *message);
--- a/src/core/gateway_result.c
+++ b/src/core/gateway_result.c
@@ -323,7 +323,7 @@
       if (lost || ends)
         {
           job->tx = NULL;
-          gw_tx_ended (tx, lost);
+          gw_tx_end (tx, lost);
         }
     }
   else if (!lost && job->action != PEER_BEGIN)
@@ -347,13 +347,13 @@
 {
   struct gw_job *job = gw_container (user, struct gw_job, user);
   struct gw_instance *instance = job->instance;
-  clk_ms spent_ms = gw_now (instance->gateway) - job->started_ms;
+  clk_ms elapsed_ms = gw_now (instance->gateway) - job->started_ms;
   job->conn = NULL;
   instance->running--;
   instance->running_long -= job->item.is_long;
   bool ran = result->status == DB_OK || result->status == DB_SQL_ERROR;
   if (ran && job->action == PEER_STATEMENT && job->statement[0] != '\0')
-    cost_observe (&instance->costs, job->cost, spent_ms);
+    cost_observe (&instance->costs, job->cost, elapsed_ms);
   gw_record_report (instance, &result->report);
   finish (job, conn, result);
   gw_dispatch (instance);
--- a/src/core/gateway_run.c
+++ b/src/core/gateway_run.c
@@ -120,7 +120,7 @@
     {
       job->tx = NULL;
       tx->job = NULL;
-      gw_tx_ended (tx, true);
+      gw_tx_end (tx, true);
     }
   gw_answer (job, OUTCOME_UNKNOWN, REASON_DEADLINE);
 }
--- a/src/core/gateway_tx.c
+++ b/src/core/gateway_tx.c
@@ -47,12 +47,14 @@
       queue_remove (tx->instance->queue, &job->item);
       gw_refuse (job, REASON_BAD_TRANSACTION, 0);
     }
-  gw_tx_ended (tx, true);
+  gw_tx_end (tx, true);
 }
 
 static const struct pool_user_ops tx_user_ops
     = { .done = on_reset_done, .closed = on_conn_closed };
 
+/* Queues JOB, which opens a transaction, or refuses it if there are too
+   many.  */
 void
 gw_tx_begin (struct gw_job *job)
 {
@@ -79,6 +81,7 @@
   return tx;
 }
 
+/* Registers the transaction that JOB has opened on CONN.  */
 void
 gw_tx_opened (struct gw_job *job, struct pool_conn *conn)
 {
@@ -103,7 +106,7 @@
 
 /* Ends TX.  Its connection is reset for reuse unless it is LOST.  */
 void
-gw_tx_ended (struct gw_tx *tx, bool lost)
+gw_tx_end (struct gw_tx *tx, bool lost)
 {
   struct db_job job = { .kind = DB_ROLLBACK };
   if (lost)
@@ -123,6 +126,7 @@
   conn_pool_submit (tx->conn, &job);
 }
 
+/* Queues JOB as a statement of the open transaction ID.  */
 void
 gw_tx_submit (struct gw_job *job, uint64_t id)
 {
@@ -154,7 +158,7 @@
              LOG_S ("entry_host", tx->entry_host), LOG_S ("why", why));
   metrics_count (kernel_metrics (instance->gateway->base.kernel),
                  "gateway_transactions_orphaned_total");
-  gw_tx_ended (tx, false);
+  gw_tx_end (tx, false);
 }
 
 void
