--- a/src/proxy/lease.c
+++ b/src/proxy/lease.c
@@ -19,8 +19,8 @@
   void (*answered) (void *arg, enum platform_status status);
   void *arg;
   char id[LEASE_ID_BYTES];
-  clk_ms until_ms;
-  clk_ms asked_ms;
+  clk_ms expires_ms;
+  clk_ms sent_ms;
   bool wanted;
   bool unanswered;
   uint64_t call;
@@ -28,11 +28,11 @@
 };
 
 static void
-arm (struct lease *lease, clk_ms span_ms)
+set_timer (struct lease *lease, clk_ms delay_ms)
 {
   if (lease->wanted)
     kernel_timer_set (lease->kernel, &lease->timer,
-                      kernel_now (lease->kernel) + span_ms);
+                      kernel_now (lease->kernel) + delay_ms);
 }
 
 /* Waits before the next try; a short lease can't wait for long.  */
@@ -40,7 +40,7 @@
 retry_later (struct lease *lease)
 {
   clk_ms wait_ms = lease->renew_ms / 2;
-  arm (lease, wait_ms < LEASE_RETRY_MS ? wait_ms : LEASE_RETRY_MS);
+  set_timer (lease, wait_ms < LEASE_RETRY_MS ? wait_ms : LEASE_RETRY_MS);
 }
 
 static void
@@ -67,14 +67,14 @@
       retry_later (lease);
       return;
     }
-  lease->until_ms = lease->asked_ms + lease->ttl_ms;
-  arm (lease, lease->renew_ms);
+  lease->expires_ms = lease->sent_ms + lease->ttl_ms;
+  set_timer (lease, lease->renew_ms);
   if (is_new && lease->wanted)
     lease->gained (lease->arg);
 }
 
 static void
-ask (struct lease *lease)
+send_call (struct lease *lease)
 {
   bool renew = lease->id[0] != '\0';
   struct platform_call call
@@ -85,14 +85,14 @@
           .lease = lease->id };
   if (lease->call != 0 || !lease->wanted)
     return;
-  lease->asked_ms = kernel_now (lease->kernel);
+  lease->sent_ms = kernel_now (lease->kernel);
   lease->call = lease->store->ops->call (lease->store, &call, on_reply, lease);
 }
 
 static void
 on_timer (void *arg)
 {
-  ask (arg);
+  send_call (arg);
 }
 
 struct lease *
@@ -122,12 +122,12 @@
 }
 
 void
-lease_begin (struct lease *lease)
+lease_acquire (struct lease *lease)
 {
   if (lease->wanted)
     return;
   lease->wanted = true;
-  ask (lease);
+  send_call (lease);
 }
 
 static void
@@ -138,7 +138,7 @@
 }
 
 static void
-forget (struct lease *lease)
+reset (struct lease *lease)
 {
   if (lease->call != 0)
     lease->store->ops->cancel (lease->store, lease->call);
@@ -149,7 +149,7 @@
 }
 
 void
-lease_end (struct lease *lease)
+lease_release (struct lease *lease)
 {
   struct platform_call call = { .kind = PLATFORM_RELEASE,
                                 .purpose = lease->purpose,
@@ -157,7 +157,7 @@
                                 .lease = lease->id };
   if (lease->id[0] != '\0')
     lease->store->ops->call (lease->store, &call, ignore_reply, NULL);
-  forget (lease);
+  reset (lease);
 }
 
 void
@@ -165,15 +165,15 @@
 {
   if (lease == NULL)
     return;
-  forget (lease);
+  reset (lease);
   free (lease);
 }
 
 void
-lease_wake (struct lease *lease)
+lease_retry_now (struct lease *lease)
 {
   if (lease->unanswered)
-    arm (lease, 0);
+    set_timer (lease, 0);
 }
 
 bool
@@ -185,13 +185,14 @@
 bool
 lease_valid (const struct lease *lease)
 {
-  return lease->id[0] != '\0' && kernel_now (lease->kernel) < lease->until_ms;
+  return lease->id[0] != '\0'
+         && kernel_now (lease->kernel) < lease->expires_ms;
 }
 
 clk_ms
-lease_until_ms (const struct lease *lease)
+lease_expires_ms (const struct lease *lease)
 {
-  return lease->until_ms;
+  return lease->expires_ms;
 }
 
 const char *
@@ -206,5 +207,5 @@
   log_event (kernel_log (lease->kernel), LOG_WARNING, "lease_ended",
              LOG_S ("lease", lease->id), LOG_S ("purpose", lease->purpose));
   lease->id[0] = '\0';
-  arm (lease, 0);
+  set_timer (lease, 0);
 }
--- a/src/proxy/lease.h
+++ b/src/proxy/lease.h
@@ -21,21 +21,21 @@
     void (*answered) (void *arg, enum platform_status status), void *arg);
 void lease_free (struct lease *lease);
 
-/* Asks for the lease and renews it until lease_end.  */
-void lease_begin (struct lease *lease);
+/* Asks for the lease and renews it until lease_release.  */
+void lease_acquire (struct lease *lease);
 /* Ends it at the store, with the keys under it.  */
-void lease_end (struct lease *lease);
+void lease_release (struct lease *lease);
 
 /* Sets the time between renewals.  */
 void lease_set_renew (struct lease *lease, clk_ms renew_ms);
 
 /* Tries again at once, if the store did not answer.  */
-void lease_wake (struct lease *lease);
+void lease_retry_now (struct lease *lease);
 
 bool lease_wanted (const struct lease *lease);
 bool lease_valid (const struct lease *lease);
 /* When it ran or runs out.  */
-clk_ms lease_until_ms (const struct lease *lease);
+clk_ms lease_expires_ms (const struct lease *lease);
 /* Its number as text; empty if there is none.  */
 const char *lease_id (const struct lease *lease);
 
--- a/src/proxy/mirror.c
+++ b/src/proxy/mirror.c
@@ -16,25 +16,25 @@
   char source[NAME_BYTES]; /* the relay that is asked; empty: the store */
   size_t subscriber_count;
   struct mirror_events subscribers[MIRROR_SUBSCRIBERS];
-  bool prompt;
+  bool immediate;
   bool listing;
   char *after;       /* last key of the page before; NULL for the first */
-  uint64_t revision; /* taken in up to here */
+  uint64_t revision; /* applied in up to here */
   bool complete;
-  bool reached;
+  bool store_reachable;
   uint32_t failures;
   uint64_t call;
-  struct ktimer retry;
+  struct ktimer retry_timer;
   uint64_t expected;
-  struct ktimer expect;
-  uint64_t heard; /* by another host */
-  struct ktimer hear;
+  struct ktimer expect_timer;
+  uint64_t peer_revision; /* by another host */
+  struct ktimer peer_timer;
 };
 
 static void next_call (struct mirror *mirror);
 
 bool
-mirror_follows (const struct mirror *mirror)
+mirror_follows_relay (const struct mirror *mirror)
 {
   return mirror->source[0] != '\0';
 }
@@ -43,22 +43,24 @@
 static bool
 is_watching (const struct mirror *mirror)
 {
-  return mirror->call != 0 && !mirror->listing && !mirror_follows (mirror);
+  return mirror->call != 0 && !mirror->listing
+         && !mirror_follows_relay (mirror);
 }
 
 static void
-set_reached (struct mirror *mirror, bool reached)
+set_store_reachable (struct mirror *mirror, bool reached)
 {
-  if (mirror->reached == reached)
+  if (mirror->store_reachable == reached)
     return;
-  mirror->reached = reached;
+  mirror->store_reachable = reached;
   log_event (kernel_log (mirror->base.kernel),
              reached ? LOG_NOTICE : LOG_WARNING,
              reached ? "store_regained" : "store_lost",
              LOG_U ("revision", mirror->revision));
   for (size_t i = 0; i < mirror->subscriber_count; i++)
-    if (mirror->subscribers[i].reach != NULL)
-      mirror->subscribers[i].reach (mirror->subscribers[i].arg, reached);
+    if (mirror->subscribers[i].reachable_changed != NULL)
+      mirror->subscribers[i].reachable_changed (mirror->subscribers[i].arg,
+                                                reached);
 }
 
 static void
@@ -73,7 +75,7 @@
   mirror->failures++;
   wait_ms += (clk_ms)rng_below (kernel_rng (mirror->base.kernel),
                                 (uint64_t)wait_ms);
-  kernel_timer_set (mirror->base.kernel, &mirror->retry,
+  kernel_timer_set (mirror->base.kernel, &mirror->retry_timer,
                     kernel_now (mirror->base.kernel) + wait_ms);
 }
 
@@ -86,7 +88,7 @@
 }
 
 static void
-take_item (struct mirror *mirror, const struct platform_item *item)
+apply_item (struct mirror *mirror, const struct platform_item *item)
 {
   for (size_t i = 0; i < mirror->subscriber_count; i++)
     {
@@ -102,10 +104,10 @@
 }
 
 static void
-take_items (struct mirror *mirror, const struct platform_reply *reply)
+apply_items (struct mirror *mirror, const struct platform_reply *reply)
 {
   for (size_t i = 0; i < reply->item_count; i++)
-    take_item (mirror, &reply->items[i]);
+    apply_item (mirror, &reply->items[i]);
 }
 
 static void
@@ -126,15 +128,15 @@
 }
 
 static void
-tell_taken (struct mirror *mirror)
+notify_applied (struct mirror *mirror)
 {
   for (size_t i = 0; i < mirror->subscriber_count; i++)
-    if (mirror->subscribers[i].taken != NULL)
-      mirror->subscribers[i].taken (mirror->subscribers[i].arg);
+    if (mirror->subscribers[i].applied != NULL)
+      mirror->subscribers[i].applied (mirror->subscribers[i].arg);
 }
 
 static void
-take_page (struct mirror *mirror, const struct platform_reply *reply)
+apply_page (struct mirror *mirror, const struct platform_reply *reply)
 {
   if (mirror->after == NULL)
     {
@@ -142,7 +144,7 @@
       mirror->revision = reply->index;
       begin_list (mirror);
     }
-  take_items (mirror, reply);
+  apply_items (mirror, reply);
   if (reply->more && reply->item_count > 0)
     {
       free (mirror->after);
@@ -155,10 +157,10 @@
 }
 
 static clk_ms
-settle_ms (const struct mirror *mirror)
+watch_delay_ms (const struct mirror *mirror)
 {
-  return relay_serves (mirror->relay) ? MIRROR_RELAY_SETTLE_MS
-                                      : MIRROR_SETTLE_MS;
+  return relay_serves (mirror->relay) ? MIRROR_RELAY_WATCH_DELAY_MS
+                                      : MIRROR_WATCH_DELAY_MS;
 }
 
 static void
@@ -177,37 +179,38 @@
   if (reply->status != PLATFORM_OK)
     {
       if (mirror->failures > 0)
-        set_reached (mirror, false);
+        set_store_reachable (mirror, false);
       if (mirror->listing)
         start_list (mirror);
       retry_later (mirror);
       return;
     }
   mirror->failures = 0;
-  set_reached (mirror, true);
-  bool news = reply->item_count > 0;
+  set_store_reachable (mirror, true);
+  bool has_changes = reply->item_count > 0;
   if (mirror->listing)
     {
-      take_page (mirror, reply);
-      news = !mirror->listing;
+      apply_page (mirror, reply);
+      has_changes = !mirror->listing;
     }
   else
     {
-      take_items (mirror, reply);
+      apply_items (mirror, reply);
       if (reply->index > mirror->revision)
         mirror->revision = reply->index;
     }
   if (!mirror->listing)
-    tell_taken (mirror);
-  if (news && !mirror->prompt)
-    kernel_timer_set (mirror->base.kernel, &mirror->retry,
-                      kernel_now (mirror->base.kernel) + settle_ms (mirror));
+    notify_applied (mirror);
+  if (has_changes && !mirror->immediate)
+    kernel_timer_set (mirror->base.kernel, &mirror->retry_timer,
+                      kernel_now (mirror->base.kernel)
+                          + watch_delay_ms (mirror));
   else
     next_call (mirror);
 }
 
 static void
-take_followed (struct mirror *mirror, const peer_followed *reply)
+apply_relay_reply (struct mirror *mirror, const peer_followed *reply)
 {
   if (reply->all)
     begin_list (mirror);
@@ -222,27 +225,27 @@
       /* Values are NUL-terminated here.  */
       item.value = mem_zalloc (item.value_bytes + 1);
       memcpy (item.value, got->value.value_val, item.value_bytes);
-      take_item (mirror, &item);
+      apply_item (mirror, &item);
       free (item.value);
     }
   if (reply->revision > mirror->revision)
     mirror->revision = reply->revision;
   if (reply->all)
     end_list (mirror);
-  tell_taken (mirror);
+  notify_applied (mirror);
 }
 
 static void
-on_followed (void *arg, enum peer_status status, const peer_message *reply)
+on_relay_reply (void *arg, enum peer_status status, const peer_message *reply)
 {
   struct mirror *mirror = arg;
   bool answered = status == PEER_OK && reply->body.kind == PEER_KIND_FOLLOWED;
   bool reached = answered && reply->body.peer_body_u.followed.reached;
   mirror->call = 0;
   if (answered)
-    take_followed (mirror, &reply->body.peer_body_u.followed);
+    apply_relay_reply (mirror, &reply->body.peer_body_u.followed);
   if (reached)
-    set_reached (mirror, true);
+    set_store_reachable (mirror, true);
   else
     relay_failed (mirror->relay, mirror->source);
   mirror->source[0] = '\0';
@@ -255,7 +258,7 @@
 follow_relay (struct mirror *mirror)
 {
   const struct other_host *host
-      = mirror->listing || mirror->prompt || mirror->failures > 0
+      = mirror->listing || mirror->immediate || mirror->failures > 0
             ? NULL
             : relay_source (mirror->relay);
   peer_body body = { .kind = PEER_KIND_FOLLOW };
@@ -265,8 +268,8 @@
                                            .wait_ms = RELAY_WAIT_MS };
   text_copy (mirror->source, sizeof mirror->source, host->address.name);
   mirror->call = hosts_call (mirror->hosts, &host->address, &body,
-                             RELAY_WAIT_MS + MIRROR_FOLLOW_TIMEOUT_MS,
-                             on_followed, mirror);
+                             RELAY_WAIT_MS + MIRROR_FOLLOW_MARGIN_MS,
+                             on_relay_reply, mirror);
   return true;
 }
 
@@ -280,7 +283,7 @@
           .after = mirror->after,
           .wait_index = mirror->revision,
           .wait_ms = mirror->listing ? 0 : MIRROR_WAIT_MS,
-          .timeout_ms = MIRROR_TIMEOUT_MS };
+          .timeout_ms = MIRROR_CALL_TIMEOUT_MS };
   if (follow_relay (mirror))
     return;
   /* After a failure a short watch tells soon whether the store is back.  */
@@ -291,18 +294,18 @@
 }
 
 static void
-on_retry (void *arg)
+on_retry_timer (void *arg)
 {
   next_call (arg);
 }
 
 /* Gives up the call that is under way.  */
 static void
-drop_call (struct mirror *mirror)
+cancel_call (struct mirror *mirror)
 {
   if (mirror->call == 0)
     return;
-  if (mirror_follows (mirror))
+  if (mirror_follows_relay (mirror))
     hosts_cancel (mirror->hosts, mirror->call);
   else
     mirror->port->ops->cancel (mirror->port, mirror->call);
@@ -311,25 +314,25 @@
 }
 
 void
-mirror_list_again (struct mirror *mirror)
+mirror_restart_list (struct mirror *mirror)
 {
-  drop_call (mirror);
+  cancel_call (mirror);
   start_list (mirror);
-  kernel_timer_set (mirror->base.kernel, &mirror->retry,
+  kernel_timer_set (mirror->base.kernel, &mirror->retry_timer,
                     kernel_now (mirror->base.kernel));
 }
 
 void
-mirror_watch_again (struct mirror *mirror)
+mirror_restart_watch (struct mirror *mirror)
 {
   if (!is_watching (mirror))
     return;
-  drop_call (mirror);
+  cancel_call (mirror);
   next_call (mirror);
 }
 
 static void
-on_expect (void *arg)
+on_expect_timer (void *arg)
 {
   struct mirror *mirror = arg;
   if (mirror->revision >= mirror->expected || !is_watching (mirror))
@@ -337,7 +340,7 @@
   log_event (kernel_log (mirror->base.kernel), LOG_WARNING, "watch_silent",
              LOG_U ("revision", mirror->revision),
              LOG_U ("expected", mirror->expected));
-  mirror_watch_again (mirror);
+  mirror_restart_watch (mirror);
 }
 
 void
@@ -347,33 +350,33 @@
   if (revision <= mirror->expected)
     return;
   mirror->expected = revision;
-  kernel_timer_set (kernel, &mirror->expect,
-                    kernel_now (kernel) + MIRROR_EXPECT_MS);
+  kernel_timer_set (kernel, &mirror->expect_timer,
+                    kernel_now (kernel) + MIRROR_OWN_WRITE_WAIT_MS);
 }
 
 static void
-on_heard (void *arg)
+on_peer_timer (void *arg)
 {
   struct mirror *mirror = arg;
-  if (mirror->revision >= mirror->heard || !is_watching (mirror))
+  if (mirror->revision >= mirror->peer_revision || !is_watching (mirror))
     return;
   log_event (kernel_log (mirror->base.kernel), LOG_WARNING, "watch_behind",
              LOG_U ("revision", mirror->revision),
-             LOG_U ("heard", mirror->heard));
-  mirror_watch_again (mirror);
+             LOG_U ("heard", mirror->peer_revision));
+  mirror_restart_watch (mirror);
 }
 
 void
-mirror_heard (struct mirror *mirror, uint64_t revision)
+mirror_set_peer_revision (struct mirror *mirror, uint64_t revision)
 {
   struct kernel *kernel = mirror->base.kernel;
-  if (revision > mirror->heard)
-    mirror->heard = revision;
+  if (revision > mirror->peer_revision)
+    mirror->peer_revision = revision;
   /* While changes settle no watch waits; the next one brings them.  */
-  if (mirror->heard > mirror->revision && mirror->call != 0
-      && mirror->hear.slot == 0)
-    kernel_timer_set (kernel, &mirror->hear,
-                      kernel_now (kernel) + MIRROR_HEARD_MS);
+  if (mirror->peer_revision > mirror->revision && mirror->call != 0
+      && mirror->peer_timer.slot == 0)
+    kernel_timer_set (kernel, &mirror->peer_timer,
+                      kernel_now (kernel) + MIRROR_PEER_REVISION_WAIT_MS);
 }
 
 static void
@@ -390,10 +393,10 @@
 mirror_free (struct module *module)
 {
   struct mirror *mirror = (struct mirror *)module;
-  drop_call (mirror);
-  kernel_timer_cancel (module->kernel, &mirror->retry);
-  kernel_timer_cancel (module->kernel, &mirror->expect);
-  kernel_timer_cancel (module->kernel, &mirror->hear);
+  cancel_call (mirror);
+  kernel_timer_cancel (module->kernel, &mirror->retry_timer);
+  kernel_timer_cancel (module->kernel, &mirror->expect_timer);
+  kernel_timer_cancel (module->kernel, &mirror->peer_timer);
   free (mirror->after);
   free (mirror);
 }
@@ -408,10 +411,11 @@
   mirror->base.ops = &mirror_ops;
   mirror->base.name = "mirror";
   mirror->port = port;
-  mirror->retry.fire = on_retry;
-  mirror->retry.arg = mirror;
-  mirror->expect = (struct ktimer){ .fire = on_expect, .arg = mirror };
-  mirror->hear = (struct ktimer){ .fire = on_heard, .arg = mirror };
+  mirror->retry_timer.fire = on_retry_timer;
+  mirror->retry_timer.arg = mirror;
+  mirror->expect_timer
+      = (struct ktimer){ .fire = on_expect_timer, .arg = mirror };
+  mirror->peer_timer = (struct ktimer){ .fire = on_peer_timer, .arg = mirror };
   return mirror;
 }
 
@@ -430,17 +434,17 @@
 }
 
 void
-mirror_set_prompt (struct mirror *mirror, bool prompt)
+mirror_set_immediate (struct mirror *mirror, bool immediate)
 {
   struct kernel *kernel = mirror->base.kernel;
-  mirror->prompt = prompt;
-  if (prompt && mirror_follows (mirror))
+  mirror->immediate = immediate;
+  if (immediate && mirror_follows_relay (mirror))
     {
-      drop_call (mirror);
+      cancel_call (mirror);
       next_call (mirror);
     }
-  if (prompt && mirror->failures == 0 && mirror->retry.slot != 0)
-    kernel_timer_set (kernel, &mirror->retry, kernel_now (kernel));
+  if (immediate && mirror->failures == 0 && mirror->retry_timer.slot != 0)
+    kernel_timer_set (kernel, &mirror->retry_timer, kernel_now (kernel));
 }
 
 uint64_t
@@ -458,5 +462,5 @@
 bool
 mirror_reached (const struct mirror *mirror)
 {
-  return mirror->reached;
+  return mirror->store_reachable;
 }
--- a/src/proxy/mirror.h
+++ b/src/proxy/mirror.h
@@ -16,7 +16,7 @@
 
 /* Of one watch; keep-alive probes notice a dead connection earlier.  */
 #define MIRROR_WAIT_MS 30000
-#define MIRROR_TIMEOUT_MS 1200
+#define MIRROR_CALL_TIMEOUT_MS 1200
 #define MIRROR_RETRY_FIRST_MS 60
 /* Refused calls have their price.  */
 #define MIRROR_RETRY_LAST_MS 350
@@ -24,17 +24,17 @@
 /* After a listing or a change the next watch begins so much later, so that
    changes that come together cost one call; well under the time in which a
    configuration must be in force.  */
-#define MIRROR_SETTLE_MS 1500
+#define MIRROR_WATCH_DELAY_MS 1500
 /* The same for a relay, of which a domain has few: others wait for it.  */
-#define MIRROR_RELAY_SETTLE_MS 400
+#define MIRROR_RELAY_WATCH_DELAY_MS 400
 
 /* Of a question to a relay, beyond the time that it waits.  */
-#define MIRROR_FOLLOW_TIMEOUT_MS 300
+#define MIRROR_FOLLOW_MARGIN_MS 300
 
-#define MIRROR_EXPECT_MS 2000
+#define MIRROR_OWN_WRITE_WAIT_MS 2000
 
 /* For a watch that waits to tell what another host has seen.  */
-#define MIRROR_HEARD_MS 400
+#define MIRROR_PEER_REVISION_WAIT_MS 400
 
 #define MIRROR_SUBSCRIBERS 8
 
@@ -49,9 +49,9 @@
   void (*end_list) (void *arg, uint64_t revision);
   /* After what one answer brought; not between the pages of a listing.  May
      be NULL.  */
-  void (*taken) (void *arg);
+  void (*applied) (void *arg);
   /* The store answers, or no longer does.  May be NULL.  */
-  void (*reach) (void *arg, bool reached);
+  void (*reachable_changed) (void *arg, bool reached);
   void *arg;
 };
 
@@ -65,30 +65,31 @@
                        const struct mirror_events *events);
 
 /* Sets whether changes are wanted without delay.  */
-void mirror_set_prompt (struct mirror *mirror, bool prompt);
+void mirror_set_immediate (struct mirror *mirror, bool prompt);
 
 /* This host wrote what the store has at REVISION: a watch that does not tell
-   of it within MIRROR_EXPECT_MS has gone silent, and is begun again.  */
+   of it within MIRROR_OWN_WRITE_WAIT_MS has gone silent, and is begun again.
+ */
 void mirror_expect (struct mirror *mirror, uint64_t revision);
 
-/* What the store had up to here has been taken in.  */
+/* What the store had up to here has been applied in.  */
 uint64_t mirror_revision (const struct mirror *mirror);
 
 /* Another host has seen the store at REVISION: if this host's watch does not
-   tell of it within MIRROR_HEARD_MS it is begun again.  */
-void mirror_heard (struct mirror *mirror, uint64_t revision);
+   tell of it within MIRROR_PEER_REVISION_WAIT_MS it is begun again.  */
+void mirror_set_peer_revision (struct mirror *mirror, uint64_t revision);
 
 /* Whether this host follows a relay just now.  */
-bool mirror_follows (const struct mirror *mirror);
+bool mirror_follows_relay (const struct mirror *mirror);
 
 /* Begins the watch anew: the store refused other calls meanwhile, and may have
    lost it.  */
-void mirror_watch_again (struct mirror *mirror);
+void mirror_restart_watch (struct mirror *mirror);
 
 /* Reads all keys again.  */
-void mirror_list_again (struct mirror *mirror);
+void mirror_restart_list (struct mirror *mirror);
 
-/* Whether a full listing has been taken in.  */
+/* Whether a full listing has been applied in.  */
 bool mirror_complete (const struct mirror *mirror);
 
 /* Whether the last call was answered.  */
--- a/src/proxy/relay.c
+++ b/src/proxy/relay.c
@@ -24,18 +24,19 @@
   UT_hash_handle hh;
 };
 
-/* A question that waits for something newer.  */
-struct question
+/* A follow_call that waits for something newer.  */
+struct follow_call
 {
   struct relay *relay;
   uint64_t call;
   uint64_t revision;
-  struct ktimer limit;
-  struct question *prev;
-  struct question *next;
+  struct ktimer timeout;
+  struct follow_call *prev;
+  struct follow_call *next;
 };
 
-/* A relay that did not answer, or did not reach the store.  */
+/* A relay that did not reply_follow, or did not reachable_changed the store.
+ */
 struct failed_relay
 {
   char host[NAME_BYTES];
@@ -48,13 +49,13 @@
   struct hosts *hosts;
   struct mirror *mirror;
   uint32_t capacity;
-  bool refused;   /* by the store */
-  bool keeps;     /* this host is a relay, and has all from the next listing */
-  bool complete;  /* a listing was kept */
-  uint64_t known; /* removals after this revision are remembered */
+  bool store_refuses; /* by the store */
+  bool active;   /* this host is a relay, and has all from the next listing */
+  bool complete; /* a listing was kept */
+  uint64_t removals_after; /* removals after this revision are remembered */
   size_t removed_count;
   struct relay_item *items;
-  struct question *questions;
+  struct follow_call *follow_calls;
   size_t watcher_count;
   const struct other_host **watchers;
   size_t next_failed;
@@ -63,8 +64,8 @@
 
 /* Orders hosts of one failure domain as relays.  */
 static bool
-precedes (uint32_t capacity, const char *name, uint32_t other_capacity,
-          const char *other_name)
+ranks_before (uint32_t capacity, const char *name, uint32_t other_capacity,
+              const char *other_name)
 {
   if (capacity != other_capacity)
     return capacity > other_capacity;
@@ -83,14 +84,14 @@
 };
 
 static void
-insert (struct relays *relays, const struct other_host *host)
+insert_relay (struct relays *relays, const struct other_host *host)
 {
   size_t at = relays->count;
   relays->domain_hosts++;
   while (at > 0
-         && precedes (host->capacity, host->address.name,
-                      relays->hosts[at - 1]->capacity,
-                      relays->hosts[at - 1]->address.name))
+         && ranks_before (host->capacity, host->address.name,
+                          relays->hosts[at - 1]->capacity,
+                          relays->hosts[at - 1]->address.name))
     at--;
   if (at == RELAY_HOSTS)
     return;
@@ -103,7 +104,7 @@
 
 /* Lists the failure domains, this host's own first; returns their number.  */
 static size_t
-find_relays (const struct relay *relay, struct relays all[RELAY_DOMAINS])
+find_relays (const struct relay *relay, struct relays all[RELAY_MAX_DOMAINS])
 {
   size_t count, domains = 1;
   const struct other_host *others = hosts_list (relay->hosts, &count);
@@ -114,11 +115,11 @@
       size_t d = 0;
       while (d < domains && strcmp (all[d].zone, others[i].zone) != 0)
         d++;
-      if (d == RELAY_DOMAINS)
+      if (d == RELAY_MAX_DOMAINS)
         continue;
       if (d == domains)
         all[domains++] = (struct relays){ .zone = others[i].zone };
-      insert (&all[d], &others[i]);
+      insert_relay (&all[d], &others[i]);
     }
   return domains;
 }
@@ -129,9 +130,10 @@
 {
   size_t before = 0;
   for (size_t i = 0; i < own->count; i++)
-    before += precedes (own->hosts[i]->capacity, own->hosts[i]->address.name,
-                        relay->capacity, hosts_own_name (relay->hosts));
-  return own->domain_hosts >= RELAY_DOMAIN_HOSTS && before < RELAY_HOSTS;
+    before
+        += ranks_before (own->hosts[i]->capacity, own->hosts[i]->address.name,
+                         relay->capacity, hosts_own_name (relay->hosts));
+  return own->domain_hosts >= RELAY_MIN_DOMAIN_HOSTS && before < RELAY_HOSTS;
 }
 
 /* Whether HOST follows the store: where its failure domain has relays, only
@@ -139,7 +141,7 @@
 static bool
 is_watcher (const struct relays *domain, const struct other_host *host)
 {
-  if (domain->domain_hosts < RELAY_DOMAIN_HOSTS)
+  if (domain->domain_hosts < RELAY_MIN_DOMAIN_HOSTS)
     return true;
   for (size_t i = 0; i < domain->count; i++)
     if (domain->hosts[i] == host)
@@ -170,7 +172,7 @@
 }
 
 static bool
-is_down (const struct relay *relay, const char *name)
+has_failed (const struct relay *relay, const char *name)
 {
   clk_ms now_ms = kernel_now (relay->base.kernel);
   for (size_t i = 0; i < RELAY_HOSTS; i++)
@@ -183,14 +185,14 @@
 const struct other_host *
 relay_source (const struct relay *relay)
 {
-  struct relays all[RELAY_DOMAINS];
+  struct relays all[RELAY_MAX_DOMAINS];
   const struct relays *own = &all[0];
   find_relays (relay, all);
-  if (is_relay (relay, own) || own->domain_hosts < RELAY_DOMAIN_HOSTS
+  if (is_relay (relay, own) || own->domain_hosts < RELAY_MIN_DOMAIN_HOSTS
       || !hosts_ready (relay->hosts))
     return NULL;
   for (size_t i = 0; i < own->count; i++)
-    if (!is_down (relay, own->hosts[i]->address.name))
+    if (!has_failed (relay, own->hosts[i]->address.name))
       return own->hosts[i];
   return NULL;
 }
@@ -198,7 +200,7 @@
 bool
 relay_serves (const struct relay *relay)
 {
-  return relay->keeps;
+  return relay->active;
 }
 
 void
@@ -208,7 +210,7 @@
   struct failed_relay *failed = &relay->failed[relay->next_failed];
   relay->next_failed = (relay->next_failed + 1) % RELAY_HOSTS;
   text_copy (failed->host, sizeof failed->host, name);
-  failed->until_ms = kernel_now (kernel) + RELAY_DOWN_MS;
+  failed->until_ms = kernel_now (kernel) + RELAY_FAILED_MS;
   log_event (kernel_log (kernel), LOG_INFO, "relay_failed",
              LOG_S ("host", name));
 }
@@ -224,7 +226,7 @@
 }
 
 static void
-forget_all (struct relay *relay)
+clear_items (struct relay *relay)
 {
   struct relay_item *item, *next;
   HASH_ITER (hh, relay->items, item, next) { free_item (relay, item); }
@@ -234,15 +236,15 @@
 /* Forgets all removals that are remembered; hosts that missed one get all.
    This is rare, as hosts keep up.  */
 static void
-forget_removed (struct relay *relay)
+purge_removed (struct relay *relay)
 {
   struct relay_item *item, *next;
   HASH_ITER (hh, relay->items, item, next)
   {
     if (!item->removed)
       continue;
-    if (item->revision > relay->known)
-      relay->known = item->revision;
+    if (item->revision > relay->removals_after)
+      relay->removals_after = item->revision;
     free_item (relay, item);
   }
 }
@@ -269,15 +271,15 @@
   item->revision = revision;
   relay->removed_count += !item->removed;
   item->removed = true;
-  if (relay->removed_count > RELAY_REMOVED)
-    forget_removed (relay);
+  if (relay->removed_count > RELAY_MAX_REMOVED)
+    purge_removed (relay);
 }
 
 static void
 on_item (void *arg, const struct platform_item *got)
 {
   struct relay *relay = arg;
-  if (!relay->keeps)
+  if (!relay->active)
     return;
   struct relay_item *item = ensure_item (relay, got->key);
   item->listed = true;
@@ -297,7 +299,7 @@
 on_removed (void *arg, const char *key, uint64_t revision)
 {
   struct relay *relay = arg;
-  if (!relay->keeps)
+  if (!relay->active)
     return;
   struct relay_item *item = ensure_item (relay, key);
   if (revision >= item->revision)
@@ -319,7 +321,7 @@
 {
   struct relay *relay = arg;
   struct relay_item *item, *next;
-  if (!relay->keeps)
+  if (!relay->active)
     return;
   HASH_ITER (hh, relay->items, item, next)
   {
@@ -340,7 +342,8 @@
 }
 
 static void
-fill (const struct relay *relay, uint64_t revision, bool all, peer_item *out)
+fill_items (const struct relay *relay, uint64_t revision, bool all,
+            peer_item *out)
 {
   const struct relay_item *item;
   for (item = relay->items; item != NULL; item = item->hh.next)
@@ -359,17 +362,17 @@
 static bool
 reaches_store (const struct relay *relay)
 {
-  return mirror_reached (relay->mirror) && !relay->refused;
+  return mirror_reached (relay->mirror) && !relay->store_refuses;
 }
 
 static void
-answer (struct relay *relay, uint64_t call, uint64_t revision)
+reply_follow (struct relay *relay, uint64_t call, uint64_t revision)
 {
-  bool all = revision < relay->known;
+  bool all = revision < relay->removals_after;
   size_t count = count_newer (relay, revision, all);
   peer_item *items = mem_zalloc ((count + 1) * sizeof *items);
   peer_body body = { .kind = PEER_KIND_FOLLOWED };
-  fill (relay, revision, all, items);
+  fill_items (relay, revision, all, items);
   body.peer_body_u.followed = (peer_followed){
     .revision = mirror_revision (relay->mirror),
     .all = all,
@@ -381,53 +384,53 @@
 }
 
 static void
-end_question (struct question *question)
+end_follow_call (struct follow_call *follow_call)
 {
-  struct relay *relay = question->relay;
-  kernel_timer_cancel (relay->base.kernel, &question->limit);
-  DL_DELETE (relay->questions, question);
+  struct relay *relay = follow_call->relay;
+  kernel_timer_cancel (relay->base.kernel, &follow_call->timeout);
+  DL_DELETE (relay->follow_calls, follow_call);
   if (relay->complete)
-    answer (relay, question->call, question->revision);
+    reply_follow (relay, follow_call->call, follow_call->revision);
   else
-    hosts_reply (relay->hosts, question->call,
+    hosts_reply (relay->hosts, follow_call->call,
                  &(peer_body){ .kind = PEER_KIND_REFUSED });
-  free (question);
+  free (follow_call);
 }
 
 static void
-on_limit (void *arg)
+on_timeout (void *arg)
 {
-  end_question (arg);
+  end_follow_call (arg);
 }
 
 static void
-on_taken (void *arg)
+on_applied (void *arg)
 {
   struct relay *relay = arg;
-  struct question *question, *next;
+  struct follow_call *follow_call, *next;
   if (!relay->complete)
     return;
-  DL_FOREACH_SAFE (relay->questions, question, next)
+  DL_FOREACH_SAFE (relay->follow_calls, follow_call, next)
   {
-    if (question->revision < mirror_revision (relay->mirror))
-      end_question (question);
+    if (follow_call->revision < mirror_revision (relay->mirror))
+      end_follow_call (follow_call);
   }
 }
 
 static void
-on_reach (void *arg, bool reached)
+on_reachable_changed (void *arg, bool reached)
 {
   struct relay *relay = arg;
   /* The hosts that wait find out for themselves.  */
-  while (!reached && relay->questions != NULL)
-    end_question (relay->questions);
+  while (!reached && relay->follow_calls != NULL)
+    end_follow_call (relay->follow_calls);
 }
 
 void
 relay_store_refuses (struct relay *relay, bool refuses)
 {
-  relay->refused = refuses;
-  on_reach (relay, !refuses);
+  relay->store_refuses = refuses;
+  on_reachable_changed (relay, !refuses);
 }
 
 static void
@@ -445,16 +448,17 @@
   if (follow->revision < mirror_revision (relay->mirror)
       || !reaches_store (relay))
     {
-      answer (relay, call, follow->revision);
+      reply_follow (relay, call, follow->revision);
       return;
     }
-  struct question *question = mem_zalloc (sizeof *question);
-  question->relay = relay;
-  question->call = call;
-  question->revision = follow->revision;
-  question->limit = (struct ktimer){ .fire = on_limit, .arg = question };
-  DL_APPEND (relay->questions, question);
-  kernel_timer_set (kernel, &question->limit,
+  struct follow_call *follow_call = mem_zalloc (sizeof *follow_call);
+  follow_call->relay = relay;
+  follow_call->call = call;
+  follow_call->revision = follow->revision;
+  follow_call->timeout
+      = (struct ktimer){ .fire = on_timeout, .arg = follow_call };
+  DL_APPEND (relay->follow_calls, follow_call);
+  kernel_timer_set (kernel, &follow_call->timeout,
                     kernel_now (kernel) + follow->wait_ms);
 }
 
@@ -467,24 +471,24 @@
 void
 relay_hosts_changed (struct relay *relay)
 {
-  struct relays all[RELAY_DOMAINS];
+  struct relays all[RELAY_MAX_DOMAINS];
   size_t domains = find_relays (relay, all);
   bool serves = is_relay (relay, &all[0]);
   list_watchers (relay, all, domains);
-  if (serves == relay->keeps)
+  if (serves == relay->active)
     return;
-  relay->keeps = serves;
+  relay->active = serves;
   log_event (kernel_log (relay->base.kernel), LOG_NOTICE, "relay",
-             LOG_U ("serves", relay->keeps),
+             LOG_U ("serves", relay->active),
              LOG_U ("domain_hosts", all[0].domain_hosts));
-  if (relay->keeps)
+  if (relay->active)
     {
-      mirror_list_again (relay->mirror);
+      mirror_restart_list (relay->mirror);
       return;
     }
-  forget_all (relay);
-  while (relay->questions != NULL)
-    end_question (relay->questions);
+  clear_items (relay);
+  while (relay->follow_calls != NULL)
+    end_follow_call (relay->follow_calls);
 }
 
 static void
@@ -496,8 +500,8 @@
                                   .removed = on_removed,
                                   .begin_list = on_begin_list,
                                   .end_list = on_end_list,
-                                  .taken = on_taken,
-                                  .reach = on_reach,
+                                  .applied = on_applied,
+                                  .reachable_changed = on_reachable_changed,
                                   .arg = relay };
   relay->hosts = (struct hosts *)kernel_find (module->kernel, "hosts");
   relay->mirror = (struct mirror *)kernel_find (module->kernel, "mirror");
@@ -510,9 +514,9 @@
 {
   struct relay *relay = (struct relay *)module;
   relay->complete = false;
-  while (relay->questions != NULL)
-    end_question (relay->questions);
-  forget_all (relay);
+  while (relay->follow_calls != NULL)
+    end_follow_call (relay->follow_calls);
+  clear_items (relay);
   free (relay->watchers);
   free (relay);
 }
--- a/src/proxy/relay.h
+++ b/src/proxy/relay.h
@@ -19,18 +19,18 @@
 /* Hosts of a failure domain that others may follow, and how many it must
    have for that: below, the calls saved are not worth the step between.  */
 #define RELAY_HOSTS 2
-#define RELAY_DOMAINS 32
-#define RELAY_DOMAIN_HOSTS 12
+#define RELAY_MAX_DOMAINS 32
+#define RELAY_MIN_DOMAIN_HOSTS 12
 
 /* How long a relay holds a question while nothing is newer; a host must learn
    of a configuration in time though its relay froze.  */
 #define RELAY_WAIT_MS 600
 
 /* A relay that failed is not asked for this long.  */
-#define RELAY_DOWN_MS 4000
+#define RELAY_FAILED_MS 4000
 
 /* Removed keys that are remembered; a host that missed more gets all.  */
-#define RELAY_REMOVED 512
+#define RELAY_MAX_REMOVED 512
 
 struct relay;
 
--- a/src/proxy/revisions.c
+++ b/src/proxy/revisions.c
@@ -13,23 +13,23 @@
   struct hosts *hosts;
   struct mirror *mirror;
   struct relay *relay;
-  uint64_t told; /* the newest */
-  clk_ms until_ms;
-  struct ktimer tell;
+  uint64_t sent_revision; /* the newest */
+  clk_ms send_until_ms;
+  struct ktimer send_timer;
 };
 
 static void
-tell_host (struct revisions *revisions, const struct other_host *host)
+send_revision (struct revisions *revisions, const struct other_host *host)
 {
   peer_body body = { .kind = PEER_KIND_HEARTBEAT };
   body.peer_body_u.heartbeat.revision = mirror_revision (revisions->mirror);
   /* Told again soon, whatever comes of it.  */
-  hosts_call (revisions->hosts, &host->address, &body, REVISIONS_CALL_MS, NULL,
-              NULL);
+  hosts_call (revisions->hosts, &host->address, &body,
+              REVISIONS_CALL_TIMEOUT_MS, NULL, NULL);
 }
 
 static void
-on_tell (void *arg)
+on_send_timer (void *arg)
 {
   struct revisions *revisions = arg;
   struct kernel *kernel = revisions->base.kernel;
@@ -38,31 +38,34 @@
   const struct other_host *const *watchers
       = relay_watchers (revisions->relay, &count);
   for (size_t i = 0; count > 0 && i < REVISIONS_FANOUT; i++)
-    tell_host (revisions, watchers[rng_below (kernel_rng (kernel), count)]);
-  if (now_ms < revisions->until_ms)
-    kernel_timer_set (kernel, &revisions->tell, now_ms + REVISIONS_TELL_MS);
+    send_revision (revisions,
+                   watchers[rng_below (kernel_rng (kernel), count)]);
+  if (now_ms < revisions->send_until_ms)
+    kernel_timer_set (kernel, &revisions->send_timer,
+                      now_ms + REVISIONS_SEND_INTERVAL_MS);
 }
 
 static void
-on_taken (void *arg)
+on_applied (void *arg)
 {
   struct revisions *revisions = arg;
   struct kernel *kernel = revisions->base.kernel;
   uint64_t revision = mirror_revision (revisions->mirror);
-  if (revision <= revisions->told || mirror_follows (revisions->mirror))
+  if (revision <= revisions->sent_revision
+      || mirror_follows_relay (revisions->mirror))
     return;
-  revisions->told = revision;
-  revisions->until_ms = kernel_now (kernel) + REVISIONS_TELL_FOR_MS;
-  if (revisions->tell.slot == 0)
-    kernel_timer_set (kernel, &revisions->tell, kernel_now (kernel));
+  revisions->sent_revision = revision;
+  revisions->send_until_ms = kernel_now (kernel) + REVISIONS_SEND_PERIOD_MS;
+  if (revisions->send_timer.slot == 0)
+    kernel_timer_set (kernel, &revisions->send_timer, kernel_now (kernel));
 }
 
 static void
 on_heartbeat (void *arg, uint64_t call, const peer_message *message)
 {
   struct revisions *revisions = arg;
-  mirror_heard (revisions->mirror,
-                message->body.peer_body_u.heartbeat.revision);
+  mirror_set_peer_revision (revisions->mirror,
+                            message->body.peer_body_u.heartbeat.revision);
   hosts_reply (revisions->hosts, call, &(peer_body){ .kind = PEER_KIND_NONE });
 }
 
@@ -72,7 +75,7 @@
   struct revisions *revisions = (struct revisions *)module;
   struct kernel *kernel = module->kernel;
   struct mirror_events events
-      = { .prefix = "", .taken = on_taken, .arg = revisions };
+      = { .prefix = "", .applied = on_applied, .arg = revisions };
   revisions->hosts = (struct hosts *)kernel_find (kernel, "hosts");
   revisions->mirror = (struct mirror *)kernel_find (kernel, "mirror");
   revisions->relay = (struct relay *)kernel_find (kernel, "relay");
@@ -85,7 +88,7 @@
 revisions_free (struct module *module)
 {
   struct revisions *revisions = (struct revisions *)module;
-  kernel_timer_cancel (module->kernel, &revisions->tell);
+  kernel_timer_cancel (module->kernel, &revisions->send_timer);
   free (revisions);
 }
 
@@ -98,6 +101,7 @@
   struct revisions *revisions = mem_zalloc (sizeof *revisions);
   revisions->base.ops = &revisions_ops;
   revisions->base.name = "revisions";
-  revisions->tell = (struct ktimer){ .fire = on_tell, .arg = revisions };
+  revisions->send_timer
+      = (struct ktimer){ .fire = on_send_timer, .arg = revisions };
   return &revisions->base;
 }
--- a/src/proxy/roster.c
+++ b/src/proxy/roster.c
@@ -45,10 +45,10 @@
   roster->store->ops->call (roster->store, &call, done, arg);
 }
 
-/* Notes how the store met a call.  A watch that waits tells nothing of a
-   store that refuses all else.  */
+/* A pending watch does not reveal that the store refuses other calls, so the
+   status comes from those.  */
 void
-roster_note_store (struct roster *roster, enum platform_status status)
+roster_set_store_status (struct roster *roster, enum platform_status status)
 {
   bool refuses = status == PLATFORM_UNAVAILABLE || status == PLATFORM_LOST;
   if (refuses == roster->store_refuses)
@@ -60,7 +60,7 @@
              LOG_U ("reached", mirror_reached (roster->mirror)));
   relay_store_refuses (roster->relay, refuses);
   if (!refuses)
-    mirror_watch_again (roster->mirror);
+    mirror_restart_watch (roster->mirror);
   roster_report (roster, WITNESS_STORE, refuses ? WITNESS_STORE : NULL);
 }
 
@@ -73,11 +73,11 @@
 static void check_registration (struct roster *roster);
 
 static void
-registered (void *arg, const struct platform_reply *reply)
+on_registered (void *arg, const struct platform_reply *reply)
 {
   struct roster *roster = arg;
   roster->registering = false;
-  roster_note_store (roster, reply->status);
+  roster_set_store_status (roster, reply->status);
   if (reply->status == PLATFORM_OK)
     {
       roster->registered = reply->index;
@@ -89,8 +89,9 @@
     check_registration (roster);
 }
 
-/* Registers this host.  The registration of an earlier process of its name
-   is replaced: when its lease ends, all hosts would count one less.  */
+/* Registers this host.  The registration of an earlier process of this host is
+   replaced: otherwise it would disappear with its lease, and the other hosts
+   would drop this one.  */
 static void
 register_host (struct roster *roster)
 {
@@ -103,11 +104,11 @@
   roster->registering = true;
   roster->replaced = key != NULL ? key->revision : 0;
   roster_write_key (roster, roster->host_lease, name, roster->registration,
-                    roster->replaced, registered, roster);
+                    roster->replaced, on_registered, roster);
 }
 
-/* Registers this host anew if the store shows another registration than it
-   wrote, and than it tried to replace.  */
+/* Registers this host again if the store has a registration other than the one
+   that this process wrote or expected to replace.  */
 static void
 check_registration (struct roster *roster)
 {
@@ -122,7 +123,7 @@
 static void
 lease_answered (void *arg, enum platform_status status)
 {
-  roster_note_store (arg, status);
+  roster_set_store_status (arg, status);
 }
 
 static void
@@ -143,14 +144,14 @@
   return strncmp (name, REPORTS_PREFIX, strlen (REPORTS_PREFIX)) == 0;
 }
 
-/* Splits a registration, "DOMAIN ADDRESS PORT CAPACITY".  */
+/* Parses a registration, "DOMAIN ADDRESS PORT CAPACITY".  */
 static bool
 parse_registration (const struct roster_key *key, struct other_host *host)
 {
   struct peer_address *address = &host->address;
   unsigned port;
   *host = (struct other_host){ 0 };
-  /* Hosts of an earlier version don't tell their capacity.  */
+  /* Hosts of an earlier version don't register a capacity.  */
   if (!text_copy (address->name, NAME_BYTES, key->name + strlen (HOSTS_PREFIX))
       || sscanf (key->value, "%63s %63s %u %" SCNu32, host->zone,
                  address->address, &port, &host->capacity)
@@ -161,28 +162,28 @@
   return true;
 }
 
-/* Whether a list of COUNT other hosts is taken over later: many registrations
-   that end together are rather those of an outage of the store, and come
-   back.  */
+/* Returns whether a list of COUNT other hosts must be applied only after
+   ROSTER_SHRINK_DELAY_MS: many registrations that end together mostly come
+   from an outage of the store, and the hosts register again.  */
 static bool
-is_shrinking (struct roster *roster, size_t count)
+is_sudden_shrink (struct roster *roster, size_t count)
 {
   struct kernel *kernel = roster->base.kernel;
-  if (count >= roster->settled)
+  if (count >= roster->peak_hosts)
     {
-      kernel_timer_cancel (kernel, &roster->shrink);
-      roster->settled = count;
+      kernel_timer_cancel (kernel, &roster->shrink_timer);
+      roster->peak_hosts = count;
       return false;
     }
-  if (roster->shrink.slot == 0)
-    kernel_timer_set (kernel, &roster->shrink,
-                      kernel_now (kernel) + ROSTER_SHRINK_MS);
-  return 4 * (count + 1) < 3 * (roster->settled + 1);
+  if (roster->shrink_timer.slot == 0)
+    kernel_timer_set (kernel, &roster->shrink_timer,
+                      kernel_now (kernel) + ROSTER_SHRINK_DELAY_MS);
+  return 4 * (count + 1) < 3 * (roster->peak_hosts + 1);
 }
 
-/* Tells which other hosts are registered.  */
+/* Passes the list of registered hosts to the other modules.  */
 static void
-count_hosts (struct roster *roster)
+update_hosts (struct roster *roster)
 {
   const struct roster_key *key;
   size_t count = 0;
@@ -192,7 +193,7 @@
     if (is_host_key (key->name) && parse_registration (key, &others[count])
         && strcmp (others[count].address.name, roster->host) != 0)
       count++;
-  if (is_shrinking (roster, count))
+  if (is_sudden_shrink (roster, count))
     {
       free (others);
       return;
@@ -211,8 +212,8 @@
 on_shrink (void *arg)
 {
   struct roster *roster = arg;
-  roster->settled = 0;
-  count_hosts (roster);
+  roster->peak_hosts = 0;
+  update_hosts (roster);
 }
 
 void
@@ -221,21 +222,21 @@
   if (roster->leaving)
     return;
   roster->leaving = true;
-  kernel_timer_cancel (roster->base.kernel, &roster->claim);
-  lease_end (roster->duty_lease);
-  lease_end (roster->host_lease);
+  kernel_timer_cancel (roster->base.kernel, &roster->claim_timer);
+  lease_release (roster->duty_lease);
+  lease_release (roster->host_lease);
 }
 
 static void
 ignore_reply (void *arg, const struct platform_reply *reply)
 {
   (void)arg;
-  (void)reply; /* the mirror tells what came of it */
+  (void)reply; /* the mirror delivers the result */
 }
 
-/* Takes the secret between hosts from the store.  */
+/* Decodes the secret read from the store, unless it is already set.  */
 static void
-take_secret (struct roster *roster, const char *text)
+read_secret (struct roster *roster, const char *text)
 {
   uint8_t secret[ROSTER_SECRET_BYTES];
   size_t length;
@@ -249,7 +250,7 @@
   roster->secret_known (roster->arg, secret);
 }
 
-/* Draws the secret between hosts where there is none yet.  */
+/* Generates the secret if the store has none.  */
 static void
 ensure_secret (struct roster *roster)
 {
@@ -262,7 +263,8 @@
   roster_write_key (roster, NULL, SECRET_KEY, text, 0, ignore_reply, NULL);
 }
 
-/* Sets NAME to the host of a duty's value, "HOST INCARNATION".  */
+/* Copies the host of the duty's value, "HOST INCARNATION", to NAME.  Returns
+   NAME, or NULL if there is no holder.  */
 static const char *
 holder_name (const struct roster_key *key, char name[NAME_BYTES])
 {
@@ -285,11 +287,11 @@
              LOG_U ("token", key != NULL ? key->created : 0),
              LOG_U ("mine", mine));
   groups_set_watch (roster->groups, mine);
-  mirror_set_prompt (roster->mirror, mine);
+  mirror_set_immediate (roster->mirror, mine);
   if (key == NULL)
     roster_claim_soon (roster);
-  else if (!mine && lease_wanted (roster->duty_lease) && !roster->duty_call)
-    lease_end (roster->duty_lease);
+  else if (!mine && lease_wanted (roster->duty_lease) && !roster->claiming)
+    lease_release (roster->duty_lease);
 }
 
 static void
@@ -299,14 +301,14 @@
   bool host = is_host_key (key->name);
   char own[KEY_BYTES];
   own_host_key (roster, own);
-  bool own_gone = strcmp (key->name, own) == 0;
+  bool was_own = strcmp (key->name, own) == 0;
   roster->report_keys -= is_report_key (key->name);
   HASH_DEL (roster->keys, key);
   free (key);
   if (host)
-    count_hosts (roster);
-  /* The registration of an earlier process stood in the way.  */
-  if (own_gone)
+    update_hosts (roster);
+  /* It may have been that of an earlier process.  */
+  if (was_own)
     register_host (roster);
   if (duty)
     duty_changed (roster);
@@ -335,13 +337,13 @@
   snprintf (key->value, sizeof key->value, "%s", item->value);
   if (changed && is_host_key (key->name))
     {
-      count_hosts (roster);
+      update_hosts (roster);
       check_registration (roster);
     }
   if (is_report_key (key->name))
-    roster_adopt_report (roster, key->name);
+    roster_track_report (roster, key->name);
   if (strcmp (key->name, SECRET_KEY) == 0)
-    take_secret (roster, key->value);
+    read_secret (roster, key->value);
   if (!changed)
     return;
   if (strcmp (key->name, DUTY_KEY) == 0)
@@ -379,18 +381,19 @@
       drop_key (roster, key);
   }
   if (roster_find_key (roster, DUTY_KEY) == NULL)
-    roster_claim_within (roster, ROSTER_START_SPREAD_MS);
+    roster_claim_within (roster, ROSTER_START_JITTER_MS);
 }
 
 static void
-on_reach (void *arg, bool reached)
+on_reachable_changed (void *arg, bool reached)
 {
   struct roster *roster = arg;
-  roster_note_store (roster, reached ? PLATFORM_OK : PLATFORM_UNAVAILABLE);
+  roster_set_store_status (roster,
+                           reached ? PLATFORM_OK : PLATFORM_UNAVAILABLE);
   if (!reached)
     return;
-  lease_wake (roster->host_lease);
-  lease_wake (roster->duty_lease);
+  lease_retry_now (roster->host_lease);
+  lease_retry_now (roster->duty_lease);
   if (roster_find_key (roster, DUTY_KEY) == NULL)
     roster_claim_soon (roster);
 }
@@ -404,7 +407,7 @@
                                   .removed = on_removed,
                                   .begin_list = on_begin_list,
                                   .end_list = on_end_list,
-                                  .reach = on_reach,
+                                  .reachable_changed = on_reachable_changed,
                                   .arg = roster };
   snprintf (roster->self, sizeof roster->self, "%s %llu", roster->host,
             (unsigned long long)rng_u64 (kernel_rng (module->kernel)));
@@ -416,7 +419,7 @@
   roster->relay = (struct relay *)kernel_find (module->kernel, "relay");
   relay_set_capacity (roster->relay, roster->capacity);
   roster->witness = (struct witness *)kernel_find (module->kernel, "witness");
-  count_hosts (roster);
+  update_hosts (roster);
   mirror_subscribe (roster->mirror, &events);
   roster->host_lease = lease_new (module->kernel, roster->store, "host_lease",
                                   ROSTER_HOST_LEASE_MS, ROSTER_HOST_RENEW_MS,
@@ -424,9 +427,10 @@
   roster->duty_lease = lease_new (
       module->kernel, roster->store, "duty_lease", ROSTER_DUTY_LEASE_MS,
       ROSTER_DUTY_RENEW_MS, roster_duty_lease_gained, lease_answered, roster);
-  roster->shrink = (struct ktimer){ .fire = on_shrink, .arg = roster };
-  roster->claim = (struct ktimer){ .fire = roster_on_claim, .arg = roster };
-  lease_begin (roster->host_lease);
+  roster->shrink_timer = (struct ktimer){ .fire = on_shrink, .arg = roster };
+  roster->claim_timer
+      = (struct ktimer){ .fire = roster_on_claim, .arg = roster };
+  lease_acquire (roster->host_lease);
 }
 
 static void
@@ -435,8 +439,8 @@
   struct roster *roster = (struct roster *)module;
   struct roster_key *key, *next;
   struct roster_report_state *state, *following;
-  kernel_timer_cancel (module->kernel, &roster->claim);
-  kernel_timer_cancel (module->kernel, &roster->shrink);
+  kernel_timer_cancel (module->kernel, &roster->claim_timer);
+  kernel_timer_cancel (module->kernel, &roster->shrink_timer);
   while (roster->verifications != NULL)
     {
       struct verification *check = roster->verifications;
--- a/src/proxy/roster.h
+++ b/src/proxy/roster.h
@@ -1,16 +1,19 @@
-/* roster - the hosts of the system, the duty of one of them, and what hosts
-   report of primaries; all kept in the platform's store.
+/* roster - registers the hosts in the platform's store, elects the host that
+   may promote replicas, and shares reports of unreachable primaries.
 
-   A host's registration and reports stand under a lease of its own; the duty
-   to promote, which one host has, under a shorter one.  The fencing token of
-   the duty is the revision at which its key was created: it rises with each
-   holder.
+   Each host keeps its registration and its reports under a lease of its own,
+   so that they expire when the host dies.  One host at a time holds the
+   promotion duty, a key under a shorter lease.  The fencing token of the duty
+   is the revision at which its key was created, so it rises with each holder.
+
+   Keys in the store, with the form of their values:
 
      savoryway/hosts/HOST                 "DOMAIN ADDRESS PORT CAPACITY"
-     savoryway/secret                     of the messages between hosts
-     savoryway/duty                       "HOST INCARNATION"
-     savoryway/reports/GROUP/HOST         "INSTANCE DOMAIN": HOST, of the
-                                          failure domain, can't reach it
+     savoryway/secret                     secret shared by the hosts for
+                                          their messages, in hexadecimal
+     savoryway/duty                       "HOST INCARNATION" of the holder
+     savoryway/reports/GROUP/HOST         "INSTANCE DOMAIN": HOST, of failure
+                                          domain DOMAIN, can't reach INSTANCE
 
    Module name: "roster".  */
 
@@ -20,53 +23,57 @@
 #include "kernel/kernel.h"
 #include "port/platform_port.h"
 
-/* A holder of the duty that died is replaced after this.  */
+/* Lease of the promotion duty: bounds the time until a dead holder is
+   replaced.  */
 #define ROSTER_DUTY_LEASE_MS 1500
 #define ROSTER_DUTY_RENEW_MS 450
 
-/* A host that died no longer counts after this.  */
+/* Lease of a host: bounds the time until a dead host is removed.  */
 #define ROSTER_HOST_LEASE_MS 6000
 #define ROSTER_HOST_RENEW_MS 2000
-/* The same for a relay, which has to notice soon that the store refuses it. */
+/* Shorter for a relay, which must detect early that the store refuses its
+   calls.  */
 #define ROSTER_RELAY_RENEW_MS 500
 
-/* A list of hosts that lost more than a quarter in this time is taken over
-   after it.  */
-#define ROSTER_SHRINK_MS 4000
+/* Delay before a list that lost more than a quarter of the hosts is applied:
+   registrations that end together mostly come from an outage of the store,
+   and the hosts register again.  */
+#define ROSTER_SHRINK_DELAY_MS 4000
 
 #define ROSTER_CALL_TIMEOUT_MS 700
 
-/* Between two writes of a report.  */
-#define ROSTER_REPORT_MS 400
+/* Least time between two writes of the same report.  */
+#define ROSTER_REPORT_INTERVAL_MS 400
 
 #define ROSTER_SECRET_BYTES 32
 
-/* For this long after its lease ran out a holder goes on while most failure
-   domains can't reach the store: nobody else can take the duty then, and the
-   platform refuses an older token once a newer one was used.  */
-#define ROSTER_OUTAGE_MS 15000
+/* How long a holder keeps the duty after its lease has expired, while most
+   failure domains can't reach the store.  No other host can acquire the duty
+   then, and the platform refuses an older token once a newer one was used.  */
+#define ROSTER_OUTAGE_GRACE_MS 15000
 
-#define ROSTER_DOMAINS 32
+#define ROSTER_MAX_DOMAINS 32
 
-/* Spread of the attempts to take the duty, so that one host wins before most
-   others ask; the longer one when all start together.  */
-#define ROSTER_SPREAD_MS 200
-/* Per host above this number the spread grows in proportion.  */
-#define ROSTER_SPREAD_HOSTS 16
-#define ROSTER_START_SPREAD_MS 2500
+/* Jitter of attempts to acquire the duty, so that one host wins before most
+   others try.  */
+#define ROSTER_CLAIM_JITTER_MS 200
+/* With more other hosts than this the jitter grows in proportion.  */
+#define ROSTER_CLAIM_JITTER_HOSTS 16
+/* Jitter after a full listing, since all hosts may have started together.  */
+#define ROSTER_START_JITTER_MS 2500
 
-/* A host that gave the duty up does not take it for this long.  */
-#define ROSTER_YIELD_MS 4000
+/* How long a host that gave up the duty does not try to acquire it.  */
+#define ROSTER_RESIGN_BACKOFF_MS 4000
 
 struct roster_options
 {
   struct platform_port *store;
   const char *host;
   const char *zone;
-  const char *address; /* at which other hosts reach this one */
+  const char *address; /* at which other hosts connect to this one */
   uint16_t port;
-  uint32_t capacity; /* of this host's link, in Mbit/s; 0: not known */
-  /* Called once the secret between hosts is known.  */
+  uint32_t capacity; /* of this host's link, in Mbit/s; 0: unknown */
+  /* Called once, when the secret of ROSTER_SECRET_BYTES has been read.  */
   void (*secret_known) (void *arg, const uint8_t *secret);
   void *arg;
 };
@@ -76,26 +83,30 @@
 struct roster *roster_new (const struct roster_options *options);
 struct module *roster_module (struct roster *roster);
 
-/* Whether this host holds the duty, under a lease that has not run out or in
-   an outage of the store; sets TOKEN.  */
+/* Returns whether this host holds the promotion duty, either under a valid
+   lease or within ROSTER_OUTAGE_GRACE_MS during an outage of the store.  Sets
+   TOKEN to the fencing token if so.  */
 bool roster_holds (const struct roster *roster, uint64_t *token);
 
-/* Asks the store whether this host still holds the duty.  HELD is false if
-   another one does; a store that does not answer leaves it to the lease.  */
-typedef void (*roster_verified) (void *arg, bool held);
-void roster_verify (struct roster *roster, roster_verified done, void *arg);
+/* Queries the store for the holder of the duty and passes to DONE whether it
+   is still this host.  If the store does not answer, HELD is what roster_holds
+   returns.  */
+typedef void (*roster_verify_done) (void *arg, bool held);
+void roster_verify (struct roster *roster, roster_verify_done done, void *arg);
 
-/* Gives the duty up.  */
+/* Gives up the duty, if this host holds it; WHY is logged.  */
 void roster_yield (struct roster *roster, const char *why);
 
 /* Reports that this host can't reach INSTANCE, the primary of GROUP; NULL
-   takes the report back.  */
+   withdraws the report.  */
 void roster_report (struct roster *roster, const char *group,
                     const char *instance);
 
-/* Who can't reach an instance, of the hosts that have connections to its
-   group.  A failure domain counts as reporting if two thirds of its hosts do:
-   while the others reach the instance, statements are forwarded to them.  */
+/* Numbers of hosts that have connections to a group, and of those that report
+   an instance as unreachable.  A failure domain counts as reporting if two
+   thirds of its hosts report: with fewer, statements are forwarded to the
+   hosts that reach the instance.  HOSTS_REPORTING may include hosts without
+   connections to the group.  */
 struct roster_view
 {
   size_t hosts;
@@ -104,19 +115,20 @@
   size_t domains_reporting;
 };
 
-/* Reported in place of an instance: this host knows of no primary.  */
+/* Takes the place of an instance in the report of a host that has found no
+   primary.  */
 #define ROSTER_NO_PRIMARY "-"
 
-/* Counts the hosts that report INSTANCE, this one included; all 0 if nothing
-   is reported at all.  */
+/* Counts the hosts that report INSTANCE, including this one.  All counts are 0
+   if there are no reports about any instance.  */
 struct roster_view roster_reports (const struct roster *roster,
                                    const char *group, const char *instance);
 
-/* Whether HOST reports INSTANCE.  */
+/* Returns whether HOST reports INSTANCE of GROUP.  */
 bool roster_host_reports (const struct roster *roster, const char *group,
                           const char *instance, const char *host);
 
-/* Ends the lease and all that stands under it.  */
+/* Releases the leases, which removes the keys of this host from the store.  */
 void roster_leave (struct roster *roster);
 
 #endif
--- a/src/proxy/roster_duty.c
+++ b/src/proxy/roster_duty.c
@@ -1,4 +1,4 @@
-/* The duty to promote: its lease, its token and who has it.  */
+/* The promotion duty: acquisition, verification and release.  */
 
 #include "proxy/roster_impl.h"
 
@@ -10,10 +10,10 @@
 #include "kernel/mem.h"
 #include "kernel/text.h"
 
-/* Whether the store is away for most failure domains, and not only for this
-   host.  */
+/* Returns whether most failure domains, and not only this host, can't reach
+   the store.  */
 static bool
-store_is_away (const struct roster *roster)
+is_store_outage (const struct roster *roster)
 {
   struct roster_view view
       = roster_reports (roster, WITNESS_STORE, WITNESS_STORE);
@@ -25,28 +25,28 @@
 {
   const struct roster_key *key = roster_find_key (roster, DUTY_KEY);
   if (key == NULL || roster->leaving || strcmp (key->value, roster->self) != 0
-      || key->created == roster->fenced_token)
+      || key->created == roster->resigned_token)
     return false;
   *token = key->created;
   if (lease_valid (roster->duty_lease))
     return true;
-  return roster_now (roster) - lease_until_ms (roster->duty_lease)
-             < ROSTER_OUTAGE_MS
-         && store_is_away (roster);
+  return roster_now (roster) - lease_expires_ms (roster->duty_lease)
+             < ROSTER_OUTAGE_GRACE_MS
+         && is_store_outage (roster);
 }
 
 void
 roster_claim_within (struct roster *roster, clk_ms spread_ms)
 {
   struct kernel *kernel = roster->base.kernel;
-  if (roster->claim.slot != 0)
+  if (roster->claim_timer.slot != 0)
     return;
   clk_ms due_ms
       = kernel_now (kernel)
         + (clk_ms)rng_below (kernel_rng (kernel), (uint64_t)spread_ms);
   if (due_ms < roster->yield_until_ms)
     due_ms = roster->yield_until_ms;
-  kernel_timer_set (kernel, &roster->claim, due_ms);
+  kernel_timer_set (kernel, &roster->claim_timer, due_ms);
 }
 
 void
@@ -54,22 +54,22 @@
 {
   size_t others;
   hosts_list (roster->hosts, &others);
-  clk_ms spread_ms = ROSTER_SPREAD_MS;
-  if (others > ROSTER_SPREAD_HOSTS)
-    spread_ms = spread_ms * (clk_ms)others / ROSTER_SPREAD_HOSTS;
+  clk_ms spread_ms = ROSTER_CLAIM_JITTER_MS;
+  if (others > ROSTER_CLAIM_JITTER_HOSTS)
+    spread_ms = spread_ms * (clk_ms)others / ROSTER_CLAIM_JITTER_HOSTS;
   roster_claim_within (roster, spread_ms);
 }
 
 static void
-claimed (void *arg, const struct platform_reply *reply)
+on_claim_reply (void *arg, const struct platform_reply *reply)
 {
   struct roster *roster = arg;
-  roster_note_store (roster, reply->status);
+  roster_set_store_status (roster, reply->status);
   if (reply->status == PLATFORM_OK)
     mirror_expect (roster->mirror, reply->index);
-  roster->duty_call = false;
+  roster->claiming = false;
   if (reply->status != PLATFORM_CONFLICT)
-    mirror_set_prompt (roster->mirror, true);
+    mirror_set_immediate (roster->mirror, true);
   log_event (kernel_log (roster->base.kernel), LOG_INFO, "duty_claim",
              LOG_S ("result", reply->status == PLATFORM_OK ? "won"
                               : reply->status == PLATFORM_CONFLICT
@@ -78,8 +78,8 @@
   if (reply->status == PLATFORM_NOT_FOUND)
     lease_lost (roster->duty_lease);
   else if (reply->status == PLATFORM_CONFLICT)
-    lease_end (roster->duty_lease);
-  /* After a conflict the mirror tells when the other holder is gone.  */
+    lease_release (roster->duty_lease);
+  /* After a conflict the mirror reports when the other holder is gone.  */
   if (reply->status != PLATFORM_OK && reply->status != PLATFORM_CONFLICT
       && roster_find_key (roster, DUTY_KEY) == NULL)
     roster_claim_soon (roster);
@@ -89,18 +89,18 @@
 roster_duty_lease_gained (void *arg)
 {
   struct roster *roster = arg;
-  if (roster_find_key (roster, DUTY_KEY) != NULL || roster->duty_call)
+  if (roster_find_key (roster, DUTY_KEY) != NULL || roster->claiming)
     return;
-  roster->duty_call = true;
+  roster->claiming = true;
   roster_write_key (roster, roster->duty_lease, DUTY_KEY, roster->self, 0,
-                    claimed, roster);
+                    on_claim_reply, roster);
 }
 
 void
 roster_on_claim (void *arg)
 {
   struct roster *roster = arg;
-  if (roster->leaving || roster->duty_call || !mirror_complete (roster->mirror)
+  if (roster->leaving || roster->claiming || !mirror_complete (roster->mirror)
       || roster_find_key (roster, DUTY_KEY) != NULL)
     return;
   if (!mirror_reached (roster->mirror))
@@ -111,7 +111,7 @@
   if (lease_valid (roster->duty_lease))
     roster_duty_lease_gained (roster);
   else
-    lease_begin (roster->duty_lease);
+    lease_acquire (roster->duty_lease);
 }
 
 void
@@ -122,16 +122,16 @@
     return;
   log_event (kernel_log (roster->base.kernel), LOG_NOTICE, "duty_given_up",
              LOG_S ("why", why), LOG_U ("token", key->created));
-  /* Its lease may stand, or be out of reach.  */
-  roster->fenced_token = key->created;
-  roster->yield_until_ms = roster_now (roster) + ROSTER_YIELD_MS;
-  lease_end (roster->duty_lease);
+  /* The lease may still be valid, and its release may fail.  */
+  roster->resigned_token = key->created;
+  roster->yield_until_ms = roster_now (roster) + ROSTER_RESIGN_BACKOFF_MS;
+  lease_release (roster->duty_lease);
 }
 
 static void
 end_verification (struct verification *check, bool held)
 {
-  roster_verified done = check->done;
+  roster_verify_done done = check->done;
   void *arg = check->arg;
   DL_DELETE (check->roster->verifications, check);
   free (check);
@@ -139,7 +139,7 @@
 }
 
 static void
-verified (void *arg, const struct platform_reply *reply)
+on_verify_reply (void *arg, const struct platform_reply *reply)
 {
   struct verification *check = arg;
   struct roster *roster = check->roster;
@@ -153,9 +153,9 @@
   end_verification (check, held);
 }
 
-/* The store is away: what this host knows decides.  */
+/* Decides from the local state while the store is unavailable.  */
 static void
-verify_alone (void *arg)
+verify_locally (void *arg)
 {
   struct verification *check = arg;
   uint64_t token;
@@ -163,7 +163,7 @@
 }
 
 void
-roster_verify (struct roster *roster, roster_verified done, void *arg)
+roster_verify (struct roster *roster, roster_verify_done done, void *arg)
 {
   struct verification *check = mem_zalloc (sizeof *check);
   struct platform_call call = { .kind = PLATFORM_GET,
@@ -176,8 +176,8 @@
   DL_APPEND (roster->verifications, check);
   if (roster->store_refuses)
     {
-      kernel_defer (roster->base.kernel, verify_alone, check);
+      kernel_defer (roster->base.kernel, verify_locally, check);
       return;
     }
-  roster->store->ops->call (roster->store, &call, verified, check);
+  roster->store->ops->call (roster->store, &call, on_verify_reply, check);
 }
--- a/src/proxy/roster_impl.h
+++ b/src/proxy/roster_impl.h
@@ -1,4 +1,4 @@
-/* roster_impl - what the files of the roster share.  */
+/* roster_impl - the roster's struct and functions that its files share.  */
 
 #ifndef SAVORYWAY_PROXY_ROSTER_IMPL_H
 #define SAVORYWAY_PROXY_ROSTER_IMPL_H
@@ -26,32 +26,33 @@
 
 #define KEY_BYTES 200
 
-/* A key of the store as it was last seen.  */
+/* The last known state of a key in the store.  */
 struct roster_key
 {
   char name[KEY_BYTES];
   char value[3 * NAME_BYTES];
   uint64_t revision;
   uint64_t created;
-  bool listed;
+  bool listed; /* seen in the current full listing */
   UT_hash_handle hh;
 };
 
-/* What this host wants to stand in the store.  */
+/* This host's report about a group, as it should be in the store.  */
 struct roster_report_state
 {
   char group[NAME_BYTES];
   char wanted[2 * NAME_BYTES]; /* empty: no report */
-  uint64_t call;
-  clk_ms again_ms; /* earliest next write */
+  uint64_t call;               /* 0: no write in flight */
+  clk_ms next_write_ms;        /* earliest time of the next write */
   struct roster *roster;
   UT_hash_handle hh;
 };
 
+/* A query of the store for the holder of the duty.  */
 struct verification
 {
   struct roster *roster;
-  roster_verified done;
+  roster_verify_done done;
   void *arg;
   struct verification *prev;
   struct verification *next;
@@ -69,7 +70,7 @@
   void (*secret_known) (void *arg, const uint8_t *secret);
   void *arg;
   bool has_secret;
-  bool store_refuses; /* the last call was refused or not answered */
+  bool store_refuses; /* the last call was refused or timed out */
   struct witness *witness;
   struct hosts *hosts;
   struct placement *placement;
@@ -77,19 +78,19 @@
   struct mirror *mirror;
   struct relay *relay;
   struct roster_key *keys;
-  size_t report_keys; /* of them, reports */
+  size_t report_keys; /* number of KEYS that are reports */
   struct lease *host_lease;
   struct lease *duty_lease;
-  bool duty_call;
+  bool claiming; /* a write of the duty key is in flight */
   clk_ms yield_until_ms;
-  uint64_t fenced_token; /* of a duty that was given up */
+  uint64_t resigned_token; /* of the duty that was given up last */
   bool leaving;
   uint64_t registered; /* revision of this process's registration */
-  uint64_t replaced;   /* revision that it tried to replace */
+  uint64_t replaced;   /* revision expected by the last registration */
   bool registering;
-  size_t settled; /* most other hosts of late */
-  struct ktimer claim;
-  struct ktimer shrink;
+  size_t peak_hosts; /* number of other hosts before a shrinkage */
+  struct ktimer claim_timer;
+  struct ktimer shrink_timer;
   struct roster_report_state *reports;
   struct verification *verifications;
 };
@@ -103,15 +104,18 @@
 void roster_write_key (struct roster *roster, const struct lease *lease,
                        const char *key, const char *value, uint64_t expected,
                        platform_done done, void *arg);
-/* Notes how the store met a call.  */
-void roster_note_store (struct roster *roster, enum platform_status status);
+/* Updates whether the store refuses calls, from the STATUS of a call.  */
+void roster_set_store_status (struct roster *roster,
+                              enum platform_status status);
 
 /* roster_reports.c */
-/* Takes note of a report of this host, by the name of its key.  */
-void roster_adopt_report (struct roster *roster, const char *name);
+/* Tracks this host's report with the key NAME.  */
+void roster_track_report (struct roster *roster, const char *name);
 
 /* roster_duty.c */
+/* Attempts to acquire the duty at a random time within SPREAD_MS.  */
 void roster_claim_within (struct roster *roster, clk_ms spread_ms);
+/* The same with the default jitter.  */
 void roster_claim_soon (struct roster *roster);
 void roster_on_claim (void *arg);
 void roster_duty_lease_gained (void *arg);
--- a/src/proxy/roster_reports.c
+++ b/src/proxy/roster_reports.c
@@ -1,4 +1,4 @@
-/* Reports of primaries, and of the store, that hosts can't reach.  */
+/* Reports of hosts that can't reach a primary or the store.  */
 
 #include "proxy/roster_impl.h"
 
@@ -14,14 +14,15 @@
 static void send_report (struct roster_report_state *state);
 
 static void
-report_written (void *arg, const struct platform_reply *reply)
+on_report_written (void *arg, const struct platform_reply *reply)
 {
   struct roster_report_state *state = arg;
-  roster_note_store (state->roster, reply->status);
+  roster_set_store_status (state->roster, reply->status);
   if (reply->status == PLATFORM_OK)
     mirror_expect (state->roster->mirror, reply->index);
   state->call = 0;
-  state->again_ms = roster_now (state->roster) + ROSTER_REPORT_MS;
+  state->next_write_ms
+      = roster_now (state->roster) + ROSTER_REPORT_INTERVAL_MS;
   if (reply->status == PLATFORM_NOT_FOUND)
     lease_lost (state->roster->host_lease);
 }
@@ -33,7 +34,8 @@
             state->roster->host);
 }
 
-/* Brings the store to what is wanted, if it differs as last seen.  */
+/* Writes or removes the report if the last known state of the store differs
+   from the wanted one.  */
 static void
 send_report (struct roster_report_state *state)
 {
@@ -41,17 +43,17 @@
   char name[KEY_BYTES];
   report_key (state, name);
   const struct roster_key *key = roster_find_key (roster, name);
-  const char *stands = key != NULL ? key->value : "";
+  const char *stored = key != NULL ? key->value : "";
   if (state->call != 0 || !lease_valid (roster->host_lease)
       || !mirror_reached (roster->mirror)
-      || roster_now (roster) < state->again_ms
+      || roster_now (roster) < state->next_write_ms
       || strcmp (state->group, WITNESS_STORE) == 0
-      || strcmp (stands, state->wanted) == 0)
+      || strcmp (stored, state->wanted) == 0)
     return;
   state->call = 1;
   roster_write_key (roster, roster->host_lease, name,
                     state->wanted[0] != '\0' ? state->wanted : NULL,
-                    key != NULL ? key->revision : 0, report_written, state);
+                    key != NULL ? key->revision : 0, on_report_written, state);
 }
 
 static struct roster_report_state *
@@ -85,10 +87,10 @@
   send_report (state);
 }
 
-/* Takes note of a report of this host, which may be that of an earlier
-   process: what is not wanted is then removed.  */
+/* The report may be that of an earlier process of this host.  Once tracked, it
+   is removed if it is not wanted.  */
 void
-roster_adopt_report (struct roster *roster, const char *name)
+roster_track_report (struct roster *roster, const char *name)
 {
   char group[NAME_BYTES];
   const char *start = name + strlen (REPORTS_PREFIX);
@@ -100,7 +102,7 @@
   ensure_report (roster, group);
 }
 
-/* Whether REPORT, "INSTANCE DOMAIN", is about INSTANCE.  */
+/* Returns whether REPORT, "INSTANCE DOMAIN", is about INSTANCE.  */
 static bool
 report_names (const char *report, const char *instance)
 {
@@ -108,8 +110,8 @@
   return strncmp (report, instance, length) == 0 && report[length] == ' ';
 }
 
-/* Whether REPORT, "INSTANCE DOMAIN", is about INSTANCE, by a host of
-   DOMAIN.  */
+/* Returns whether REPORT, "INSTANCE DOMAIN", is about INSTANCE and comes from
+   a host of DOMAIN.  */
 static bool
 report_matches (const char *report, const char *instance, const char *domain)
 {
@@ -117,8 +119,8 @@
          && strcmp (report + strlen (instance) + 1, domain) == 0;
 }
 
-/* Hosts of a failure domain that report an instance, in the store or
-   directly.  */
+/* Number of hosts of a failure domain that report an instance, in the store or
+   by direct messages.  */
 struct report_count
 {
   const struct roster *roster;
@@ -138,9 +140,9 @@
          && report_matches (key->value, counted->instance, counted->domain);
 }
 
-/* Counts HOST's direct report, unless the store has it too.  */
+/* Counts the direct report of HOST unless it is also in the store.  */
 static void
-count_voice (void *arg, const char *host, const char *zone)
+count_direct_report (void *arg, const char *host, const char *zone)
 {
   struct report_count *counted = arg;
   counted->count += strcmp (zone, counted->domain) == 0
@@ -158,11 +160,13 @@
   for (key = roster->keys; key != NULL; key = key->hh.next)
     counted.count += strncmp (key->name, prefix, strlen (prefix)) == 0
                      && report_matches (key->value, instance, domain);
-  witness_each (roster->witness, group, instance, count_voice, &counted);
+  witness_each (roster->witness, group, instance, count_direct_report,
+                &counted);
   return counted.count;
 }
 
-/* Whether this host reports INSTANCE and the store does not have that.  */
+/* Returns whether this host reports INSTANCE but the store has no report of
+   it.  */
 static bool
 reports_itself (const struct roster *roster, const char *group,
                 const char *instance)
@@ -188,7 +192,7 @@
   return witness_hears (roster->witness, group, instance, host);
 }
 
-/* A failure domain, and its hosts with connections to a group.  */
+/* A failure domain and its number of hosts with connections to a group.  */
 struct report_domain
 {
   const char *name;
@@ -198,24 +202,25 @@
 struct report_domains
 {
   size_t count;
-  struct report_domain items[ROSTER_DOMAINS];
+  struct report_domain items[ROSTER_MAX_DOMAINS];
 };
 
 static void
-count_hosts_of (struct report_domains *domains, const char *zone, size_t hosts)
+add_domain_hosts (struct report_domains *domains, const char *zone,
+                  size_t hosts)
 {
   size_t i = 0;
   while (i < domains->count && strcmp (domains->items[i].name, zone) != 0)
     i++;
-  if (i == ROSTER_DOMAINS)
+  if (i == ROSTER_MAX_DOMAINS)
     return;
   if (i == domains->count)
     domains->items[domains->count++] = (struct report_domain){ .name = zone };
   domains->items[i].hosts += hosts;
 }
 
-/* Lists the failure domains, and counts the hosts that have connections to
-   GROUP; this host counts while its registration is on its way.  */
+/* Lists the failure domains and counts their hosts that have connections to
+   GROUP.  This host counts even before its registration is complete.  */
 static void
 list_domains (const struct roster *roster, const char *group,
               struct report_domains *domains)
@@ -224,15 +229,15 @@
       = placement_find (roster->placement, group);
   size_t count;
   const struct other_host *others = hosts_list (roster->hosts, &count);
-  count_hosts_of (domains, roster->zone, placed->served_here);
+  add_domain_hosts (domains, roster->zone, placed->served_here);
   for (size_t i = 0; i < placed->count; i++)
-    count_hosts_of (domains, placed->hosts[i]->zone, 1);
+    add_domain_hosts (domains, placed->hosts[i]->zone, 1);
   for (size_t i = 0; i < count; i++)
-    count_hosts_of (domains, others[i].zone, 0);
+    add_domain_hosts (domains, others[i].zone, 0);
 }
 
-/* Whether there is any report at all, so that most of the time none need be
-   counted.  */
+/* Returns whether any report exists, so that counting is skipped in normal
+   operation.  */
 static bool
 has_reports (const struct roster *roster)
 {
@@ -258,7 +263,7 @@
       size_t reports = count_reports (roster, group, instance, domain->name);
       if (strcmp (domain->name, roster->zone) == 0)
         reports += reports_itself (roster, group, instance);
-      /* Also those of the holder of the duty, which may not serve GROUP.  */
+      /* Includes the holder of the duty, which may not serve GROUP.  */
       view.hosts_reporting += reports;
       if (domain->hosts == 0)
         continue;
--- a/src/proxy/witness.c
+++ b/src/proxy/witness.c
@@ -15,20 +15,20 @@
 {
   char group[NAME_BYTES];
   char instance[NAME_BYTES]; /* empty: nothing */
-  bool taken_back;           /* still to be told */
+  bool withdrawn;            /* still to be told */
   UT_hash_handle hh;
 };
 
 /* What another host reported last of a group.  */
-struct voice
+struct received_report
 {
   char host[NAME_BYTES];
   char zone[NAME_BYTES];
   char group[NAME_BYTES];
   char instance[NAME_BYTES];
-  clk_ms heard_ms;
-  struct voice *prev;
-  struct voice *next;
+  clk_ms received_ms;
+  struct received_report *prev;
+  struct received_report *next;
 };
 
 struct witness
@@ -37,13 +37,13 @@
   struct hosts *hosts;
   char holder[NAME_BYTES]; /* of the duty; empty: none */
   struct own_report *reports;
-  struct voice *voices;
-  struct ktimer tell;
+  struct received_report *received;
+  struct ktimer send_timer;
 };
 
 static void
-tell_host (struct witness *witness, const struct own_report *report,
-           const struct peer_address *to)
+send_report (struct witness *witness, const struct own_report *report,
+             const struct peer_address *to)
 {
   peer_body body = { .kind = PEER_KIND_SUSPICION };
   body.peer_body_u.suspicion
@@ -55,48 +55,48 @@
 }
 
 static void
-tell_hosts (struct witness *witness, const struct own_report *report)
+send_report_to_hosts (struct witness *witness, const struct own_report *report)
 {
   size_t count;
   const struct other_host *others = hosts_list (witness->hosts, &count);
   for (size_t i = 0; i < count; i++)
     if (i < WITNESS_FANOUT
         || strcmp (others[i].address.name, witness->holder) == 0)
-      tell_host (witness, report, &others[i].address);
+      send_report (witness, report, &others[i].address);
 }
 
 static void
-drop_stale (struct witness *witness)
+remove_stale (struct witness *witness)
 {
   clk_ms now_ms = kernel_now (witness->base.kernel);
-  struct voice *voice, *next;
-  DL_FOREACH_SAFE (witness->voices, voice, next)
+  struct received_report *received_report, *next;
+  DL_FOREACH_SAFE (witness->received, received_report, next)
   {
-    if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS)
+    if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS)
       continue;
-    DL_DELETE (witness->voices, voice);
-    free (voice);
+    DL_DELETE (witness->received, received_report);
+    free (received_report);
   }
 }
 
 static void
-on_tell (void *arg)
+on_send_timer (void *arg)
 {
   struct witness *witness = arg;
   struct kernel *kernel = witness->base.kernel;
   struct own_report *report;
   bool again = false;
-  drop_stale (witness);
+  remove_stale (witness);
   for (report = witness->reports; report != NULL; report = report->hh.next)
     {
-      if (report->instance[0] == '\0' && !report->taken_back)
+      if (report->instance[0] == '\0' && !report->withdrawn)
         continue;
       again |= report->instance[0] != '\0';
-      report->taken_back = false;
-      tell_hosts (witness, report);
+      report->withdrawn = false;
+      send_report_to_hosts (witness, report);
     }
   if (again)
-    kernel_timer_set (kernel, &witness->tell,
+    kernel_timer_set (kernel, &witness->send_timer,
                       kernel_now (kernel) + WITNESS_TELL_MS);
 }
 
@@ -119,50 +119,53 @@
   if (strcmp (report->instance, wanted) == 0
       || !text_copy (report->instance, sizeof report->instance, wanted))
     return;
-  report->taken_back = instance == NULL;
-  kernel_timer_set (kernel, &witness->tell, kernel_now (kernel));
+  report->withdrawn = instance == NULL;
+  kernel_timer_set (kernel, &witness->send_timer, kernel_now (kernel));
 }
 
-static struct voice *
-find_voice (const struct witness *witness, const char *host, const char *group)
+static struct received_report *
+find_received (const struct witness *witness, const char *host,
+               const char *group)
 {
-  struct voice *voice;
-  DL_FOREACH (witness->voices, voice)
+  struct received_report *received_report;
+  DL_FOREACH (witness->received, received_report)
   {
-    if (strcmp (voice->host, host) == 0 && strcmp (voice->group, group) == 0)
-      return voice;
+    if (strcmp (received_report->host, host) == 0
+        && strcmp (received_report->group, group) == 0)
+      return received_report;
   }
   return NULL;
 }
 
 static void
-hear (struct witness *witness, const peer_message *message)
+record_report (struct witness *witness, const peer_message *message)
 {
   const peer_suspicion *report = &message->body.peer_body_u.suspicion;
-  drop_stale (witness);
-  struct voice *voice
-      = find_voice (witness, message->from.host, report->database);
-  if (voice == NULL)
+  remove_stale (witness);
+  struct received_report *received_report
+      = find_received (witness, message->from.host, report->database);
+  if (received_report == NULL)
     {
-      voice = mem_zalloc (sizeof *voice);
-      if (!text_copy (voice->host, NAME_BYTES, message->from.host)
-          || !text_copy (voice->zone, NAME_BYTES, message->from.domain)
-          || !text_copy (voice->group, NAME_BYTES, report->database))
+      received_report = mem_zalloc (sizeof *received_report);
+      if (!text_copy (received_report->host, NAME_BYTES, message->from.host)
+          || !text_copy (received_report->zone, NAME_BYTES,
+                         message->from.domain)
+          || !text_copy (received_report->group, NAME_BYTES, report->database))
         {
-          free (voice);
+          free (received_report);
           return;
         }
-      DL_APPEND (witness->voices, voice);
+      DL_APPEND (witness->received, received_report);
     }
-  if (text_copy (voice->instance, NAME_BYTES, report->primary))
-    voice->heard_ms = kernel_now (witness->base.kernel);
+  if (text_copy (received_report->instance, NAME_BYTES, report->primary))
+    received_report->received_ms = kernel_now (witness->base.kernel);
 }
 
 static void
 on_suspicion (void *arg, uint64_t call, const peer_message *message)
 {
   struct witness *witness = arg;
-  hear (witness, message);
+  record_report (witness, message);
   hosts_reply (witness->hosts, call, &(peer_body){ .kind = PEER_KIND_NONE });
 }
 
@@ -179,13 +182,13 @@
               void *arg)
 {
   clk_ms now_ms = kernel_now (witness->base.kernel);
-  const struct voice *voice;
-  DL_FOREACH (witness->voices, voice)
+  const struct received_report *received_report;
+  DL_FOREACH (witness->received, received_report)
   {
-    if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS
-        && strcmp (voice->group, group) == 0
-        && strcmp (voice->instance, instance) == 0)
-      fn (arg, voice->host, voice->zone);
+    if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS
+        && strcmp (received_report->group, group) == 0
+        && strcmp (received_report->instance, instance) == 0)
+      fn (arg, received_report->host, received_report->zone);
   }
 }
 
@@ -193,21 +196,22 @@
 witness_hears (const struct witness *witness, const char *group,
                const char *instance, const char *host)
 {
-  const struct voice *voice = find_voice (witness, host, group);
-  return voice != NULL
-         && kernel_now (witness->base.kernel) - voice->heard_ms
+  const struct received_report *received_report
+      = find_received (witness, host, group);
+  return received_report != NULL
+         && kernel_now (witness->base.kernel) - received_report->received_ms
                 <= WITNESS_FRESH_MS
-         && strcmp (voice->instance, instance) == 0;
+         && strcmp (received_report->instance, instance) == 0;
 }
 
 bool
 witness_hears_any (const struct witness *witness)
 {
   clk_ms now_ms = kernel_now (witness->base.kernel);
-  const struct voice *voice;
-  DL_FOREACH (witness->voices, voice)
+  const struct received_report *received_report;
+  DL_FOREACH (witness->received, received_report)
   {
-    if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS)
+    if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS)
       return true;
   }
   return false;
@@ -218,17 +222,17 @@
 {
   struct witness *witness = (struct witness *)module;
   struct own_report *report, *next_report;
-  kernel_timer_cancel (module->kernel, &witness->tell);
+  kernel_timer_cancel (module->kernel, &witness->send_timer);
   HASH_ITER (hh, witness->reports, report, next_report)
   {
     HASH_DEL (witness->reports, report);
     free (report);
   }
-  while (witness->voices != NULL)
+  while (witness->received != NULL)
     {
-      struct voice *voice = witness->voices;
-      DL_DELETE (witness->voices, voice);
-      free (voice);
+      struct received_report *received_report = witness->received;
+      DL_DELETE (witness->received, received_report);
+      free (received_report);
     }
   free (witness);
 }
@@ -250,7 +254,8 @@
   struct witness *witness = mem_zalloc (sizeof *witness);
   witness->base.ops = &witness_ops;
   witness->base.name = "witness";
-  witness->tell = (struct ktimer){ .fire = on_tell, .arg = witness };
+  witness->send_timer
+      = (struct ktimer){ .fire = on_send_timer, .arg = witness };
   return witness;
 }
 
