--- a/src/proxy/relay.c
+++ b/src/proxy/relay.c
@@ -362,7 +362,7 @@
 static bool
 reaches_store (const struct relay *relay)
 {
-  return mirror_reached (relay->mirror) && !relay->store_refuses;
+  return mirror_store_reachable (relay->mirror) && !relay->store_refuses;
 }
 
 static void
--- a/src/proxy/roster.h
+++ b/src/proxy/roster.h
@@ -86,16 +86,17 @@
 /* Returns whether this host holds the promotion duty, either under a valid
    lease or within ROSTER_OUTAGE_GRACE_MS during an outage of the store.  Sets
    TOKEN to the fencing token if so.  */
-bool roster_holds (const struct roster *roster, uint64_t *token);
+bool roster_holds_duty (const struct roster *roster, uint64_t *token);
 
 /* Queries the store for the holder of the duty and passes to DONE whether it
-   is still this host.  If the store does not answer, HELD is what roster_holds
-   returns.  */
+   is still this host.  If the store does not answer, HELD is what
+   roster_holds_duty returns.  */
 typedef void (*roster_verify_done) (void *arg, bool held);
-void roster_verify (struct roster *roster, roster_verify_done done, void *arg);
+void roster_verify_duty (struct roster *roster, roster_verify_done done,
+                         void *arg);
 
 /* Gives up the duty, if this host holds it; WHY is logged.  */
-void roster_yield (struct roster *roster, const char *why);
+void roster_resign_duty (struct roster *roster, const char *why);
 
 /* Reports that this host can't reach INSTANCE, the primary of GROUP; NULL
    withdraws the report.  */
@@ -107,7 +108,7 @@
    thirds of its hosts report: with fewer, statements are forwarded to the
    hosts that reach the instance.  HOSTS_REPORTING may include hosts without
    connections to the group.  */
-struct roster_view
+struct roster_report_count
 {
   size_t hosts;
   size_t hosts_reporting;
@@ -121,8 +122,9 @@
 
 /* Counts the hosts that report INSTANCE, including this one.  All counts are 0
    if there are no reports about any instance.  */
-struct roster_view roster_reports (const struct roster *roster,
-                                   const char *group, const char *instance);
+struct roster_report_count roster_count_reports (const struct roster *roster,
+                                                 const char *group,
+                                                 const char *instance);
 
 /* Returns whether HOST reports INSTANCE of GROUP.  */
 bool roster_host_reports (const struct roster *roster, const char *group,
--- a/src/proxy/roster_impl.h
+++ b/src/proxy/roster_impl.h
@@ -12,7 +12,7 @@
 #include "proxy/placement.h"
 #include "proxy/relay.h"
 #include "proxy/roster.h"
-#include "proxy/witness.h"
+#include "proxy/suspicions.h"
 
 #define PREFIX "savoryway/"
 
@@ -71,7 +71,7 @@
   void *arg;
   bool has_secret;
   bool store_refuses; /* the last call was refused or timed out */
-  struct witness *witness;
+  struct suspicions *suspicions;
   struct hosts *hosts;
   struct placement *placement;
   struct groups *groups;
@@ -108,7 +108,7 @@
 void roster_set_store_status (struct roster *roster,
                               enum platform_status status);
 
-/* roster_reports.c */
+/* roster_count_reports.c */
 /* Tracks this host's report with the key NAME.  */
 void roster_track_report (struct roster *roster, const char *name);
 
--- a/src/proxy/witness.c
+++ b/src/proxy/suspicions.c
@@ -1,4 +1,4 @@
-#include "proxy/witness.h"
+#include "proxy/suspicions.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -31,7 +31,7 @@
   struct received_report *next;
 };
 
-struct witness
+struct suspicions
 {
   struct module base;
   struct hosts *hosts;
@@ -42,7 +42,7 @@
 };
 
 static void
-send_report (struct witness *witness, const struct own_report *report,
+send_report (struct suspicions *suspicions, const struct own_report *report,
              const struct peer_address *to)
 {
   peer_body body = { .kind = PEER_KIND_SUSPICION };
@@ -51,30 +51,31 @@
                           .primary = (char *)report->instance,
                           .suspected = report->instance[0] != '\0' };
   /* Told again soon, whatever comes of it.  */
-  hosts_call (witness->hosts, to, &body, WITNESS_CALL_MS, NULL, NULL);
+  hosts_call (suspicions->hosts, to, &body, WITNESS_CALL_MS, NULL, NULL);
 }
 
 static void
-send_report_to_hosts (struct witness *witness, const struct own_report *report)
+send_report_to_hosts (struct suspicions *suspicions,
+                      const struct own_report *report)
 {
   size_t count;
-  const struct other_host *others = hosts_list (witness->hosts, &count);
+  const struct other_host *others = hosts_list (suspicions->hosts, &count);
   for (size_t i = 0; i < count; i++)
     if (i < WITNESS_FANOUT
-        || strcmp (others[i].address.name, witness->holder) == 0)
-      send_report (witness, report, &others[i].address);
+        || strcmp (others[i].address.name, suspicions->holder) == 0)
+      send_report (suspicions, report, &others[i].address);
 }
 
 static void
-remove_stale (struct witness *witness)
+remove_stale (struct suspicions *suspicions)
 {
-  clk_ms now_ms = kernel_now (witness->base.kernel);
+  clk_ms now_ms = kernel_now (suspicions->base.kernel);
   struct received_report *received_report, *next;
-  DL_FOREACH_SAFE (witness->received, received_report, next)
+  DL_FOREACH_SAFE (suspicions->received, received_report, next)
   {
     if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS)
       continue;
-    DL_DELETE (witness->received, received_report);
+    DL_DELETE (suspicions->received, received_report);
     free (received_report);
   }
 }
@@ -82,53 +83,53 @@
 static void
 on_send_timer (void *arg)
 {
-  struct witness *witness = arg;
-  struct kernel *kernel = witness->base.kernel;
+  struct suspicions *suspicions = arg;
+  struct kernel *kernel = suspicions->base.kernel;
   struct own_report *report;
   bool again = false;
-  remove_stale (witness);
-  for (report = witness->reports; report != NULL; report = report->hh.next)
+  remove_stale (suspicions);
+  for (report = suspicions->reports; report != NULL; report = report->hh.next)
     {
       if (report->instance[0] == '\0' && !report->withdrawn)
         continue;
       again |= report->instance[0] != '\0';
       report->withdrawn = false;
-      send_report_to_hosts (witness, report);
+      send_report_to_hosts (suspicions, report);
     }
   if (again)
-    kernel_timer_set (kernel, &witness->send_timer,
+    kernel_timer_set (kernel, &suspicions->send_timer,
                       kernel_now (kernel) + WITNESS_TELL_MS);
 }
 
 void
-witness_report (struct witness *witness, const char *group,
+witness_report (struct suspicions *suspicions, const char *group,
                 const char *instance)
 {
-  struct kernel *kernel = witness->base.kernel;
+  struct kernel *kernel = suspicions->base.kernel;
   struct own_report *report;
-  HASH_FIND_STR (witness->reports, group, report);
+  HASH_FIND_STR (suspicions->reports, group, report);
   if (report == NULL && instance == NULL)
     return;
   if (report == NULL)
     {
       report = mem_zalloc (sizeof *report);
       text_copy (report->group, sizeof report->group, group);
-      HASH_ADD_STR (witness->reports, group, report);
+      HASH_ADD_STR (suspicions->reports, group, report);
     }
   const char *wanted = instance != NULL ? instance : "";
   if (strcmp (report->instance, wanted) == 0
       || !text_copy (report->instance, sizeof report->instance, wanted))
     return;
   report->withdrawn = instance == NULL;
-  kernel_timer_set (kernel, &witness->send_timer, kernel_now (kernel));
+  kernel_timer_set (kernel, &suspicions->send_timer, kernel_now (kernel));
 }
 
 static struct received_report *
-find_received (const struct witness *witness, const char *host,
+find_received (const struct suspicions *suspicions, const char *host,
                const char *group)
 {
   struct received_report *received_report;
-  DL_FOREACH (witness->received, received_report)
+  DL_FOREACH (suspicions->received, received_report)
   {
     if (strcmp (received_report->host, host) == 0
         && strcmp (received_report->group, group) == 0)
@@ -138,12 +139,12 @@
 }
 
 static void
-record_report (struct witness *witness, const peer_message *message)
+record_report (struct suspicions *suspicions, const peer_message *message)
 {
   const peer_suspicion *report = &message->body.peer_body_u.suspicion;
-  remove_stale (witness);
+  remove_stale (suspicions);
   struct received_report *received_report
-      = find_received (witness, message->from.host, report->database);
+      = find_received (suspicions, message->from.host, report->database);
   if (received_report == NULL)
     {
       received_report = mem_zalloc (sizeof *received_report);
@@ -155,35 +156,37 @@
           free (received_report);
           return;
         }
-      DL_APPEND (witness->received, received_report);
+      DL_APPEND (suspicions->received, received_report);
     }
   if (text_copy (received_report->instance, NAME_BYTES, report->primary))
-    received_report->received_ms = kernel_now (witness->base.kernel);
+    received_report->received_ms = kernel_now (suspicions->base.kernel);
 }
 
 static void
 on_suspicion (void *arg, uint64_t call, const peer_message *message)
 {
-  struct witness *witness = arg;
-  record_report (witness, message);
-  hosts_reply (witness->hosts, call, &(peer_body){ .kind = PEER_KIND_NONE });
+  struct suspicions *suspicions = arg;
+  record_report (suspicions, message);
+  hosts_reply (suspicions->hosts, call,
+               &(peer_body){ .kind = PEER_KIND_NONE });
 }
 
 void
-witness_set_holder (struct witness *witness, const char *host)
+witness_set_holder (struct suspicions *suspicions, const char *host)
 {
-  if (host == NULL || !text_copy (witness->holder, NAME_BYTES, host))
-    witness->holder[0] = '\0';
+  if (host == NULL || !text_copy (suspicions->holder, NAME_BYTES, host))
+    suspicions->holder[0] = '\0';
 }
 
 void
-witness_each (struct witness *witness, const char *group, const char *instance,
+witness_each (struct suspicions *suspicions, const char *group,
+              const char *instance,
               void (*fn) (void *arg, const char *host, const char *zone),
               void *arg)
 {
-  clk_ms now_ms = kernel_now (witness->base.kernel);
+  clk_ms now_ms = kernel_now (suspicions->base.kernel);
   const struct received_report *received_report;
-  DL_FOREACH (witness->received, received_report)
+  DL_FOREACH (suspicions->received, received_report)
   {
     if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS
         && strcmp (received_report->group, group) == 0
@@ -193,23 +196,23 @@
 }
 
 bool
-witness_hears (const struct witness *witness, const char *group,
+witness_hears (const struct suspicions *suspicions, const char *group,
                const char *instance, const char *host)
 {
   const struct received_report *received_report
-      = find_received (witness, host, group);
+      = find_received (suspicions, host, group);
   return received_report != NULL
-         && kernel_now (witness->base.kernel) - received_report->received_ms
+         && kernel_now (suspicions->base.kernel) - received_report->received_ms
                 <= WITNESS_FRESH_MS
          && strcmp (received_report->instance, instance) == 0;
 }
 
 bool
-witness_hears_any (const struct witness *witness)
+witness_hears_any (const struct suspicions *suspicions)
 {
-  clk_ms now_ms = kernel_now (witness->base.kernel);
+  clk_ms now_ms = kernel_now (suspicions->base.kernel);
   const struct received_report *received_report;
-  DL_FOREACH (witness->received, received_report)
+  DL_FOREACH (suspicions->received, received_report)
   {
     if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS)
       return true;
@@ -220,47 +223,48 @@
 static void
 witness_free (struct module *module)
 {
-  struct witness *witness = (struct witness *)module;
+  struct suspicions *suspicions = (struct suspicions *)module;
   struct own_report *report, *next_report;
-  kernel_timer_cancel (module->kernel, &witness->send_timer);
-  HASH_ITER (hh, witness->reports, report, next_report)
+  kernel_timer_cancel (module->kernel, &suspicions->send_timer);
+  HASH_ITER (hh, suspicions->reports, report, next_report)
   {
-    HASH_DEL (witness->reports, report);
+    HASH_DEL (suspicions->reports, report);
     free (report);
   }
-  while (witness->received != NULL)
+  while (suspicions->received != NULL)
     {
-      struct received_report *received_report = witness->received;
-      DL_DELETE (witness->received, received_report);
+      struct received_report *received_report = suspicions->received;
+      DL_DELETE (suspicions->received, received_report);
       free (received_report);
     }
-  free (witness);
+  free (suspicions);
 }
 
 static void
 witness_start (struct module *module)
 {
-  struct witness *witness = (struct witness *)module;
-  witness->hosts = (struct hosts *)kernel_find (module->kernel, "hosts");
-  hosts_handle (witness->hosts, PEER_KIND_SUSPICION, on_suspicion, witness);
+  struct suspicions *suspicions = (struct suspicions *)module;
+  suspicions->hosts = (struct hosts *)kernel_find (module->kernel, "hosts");
+  hosts_handle (suspicions->hosts, PEER_KIND_SUSPICION, on_suspicion,
+                suspicions);
 }
 
 static const struct module_ops witness_ops
     = { .start = witness_start, .free = witness_free };
 
-struct witness *
-witness_new (void)
+struct suspicions *
+suspicions_new (void)
 {
-  struct witness *witness = mem_zalloc (sizeof *witness);
-  witness->base.ops = &witness_ops;
-  witness->base.name = "witness";
-  witness->send_timer
-      = (struct ktimer){ .fire = on_send_timer, .arg = witness };
-  return witness;
+  struct suspicions *suspicions = mem_zalloc (sizeof *suspicions);
+  suspicions->base.ops = &witness_ops;
+  suspicions->base.name = "witness";
+  suspicions->send_timer
+      = (struct ktimer){ .fire = on_send_timer, .arg = suspicions };
+  return suspicions;
 }
 
 struct module *
-witness_module (struct witness *witness)
+suspicions_module (struct suspicions *suspicions)
 {
-  return &witness->base;
+  return &suspicions->base;
 }
