--- a/src/proxy/lease.c
+++ b/src/proxy/lease.c
@@ -22,7 +22,7 @@
   clk_ms expires_ms;
   clk_ms sent_ms;
   bool wanted;
-  bool unanswered;
+  bool unanswered; /* the last call failed */
   uint64_t call;
   struct ktimer timer;
 };
@@ -35,7 +35,7 @@
                       kernel_now (lease->kernel) + delay_ms);
 }
 
-/* Waits before the next try; a short lease can't wait for long.  */
+/* A short lease must be retried sooner than LEASE_RETRY_MS.  */
 static void
 retry_later (struct lease *lease)
 {
@@ -134,7 +134,7 @@
 ignore_reply (void *arg, const struct platform_reply *reply)
 {
   (void)arg;
-  (void)reply; /* unanswered, the lease ends by itself */
+  (void)reply; /* after a failure the lease expires by itself */
 }
 
 static void
--- a/src/proxy/lease.h
+++ b/src/proxy/lease.h
@@ -1,7 +1,8 @@
-/* lease - one lease at the platform's store, kept while it is wanted.
+/* lease - acquires a lease at the platform's store and renews it.
 
-   The store counts a lease from the arrival of a call, this host from its
-   sending: what holds here holds there.  */
+   The store counts the term of a lease from the arrival of a call, this host
+   from the sending of the call.  So a lease that is valid here is valid at the
+   store too.  */
 
 #ifndef SAVORYWAY_PROXY_LEASE_H
 #define SAVORYWAY_PROXY_LEASE_H
@@ -14,32 +15,35 @@
 
 struct lease;
 
-/* GAINED is called when a new lease holds, ANSWERED after each call.  */
+/* Creates a lease of TTL_MS, renewed every RENEW_MS.  PURPOSE labels the calls
+   to the store.  GAINED is called when a new lease has been acquired, ANSWERED
+   after each call.  */
 struct lease *lease_new (
     struct kernel *kernel, struct platform_port *store, const char *purpose,
     clk_ms ttl_ms, clk_ms renew_ms, void (*gained) (void *arg),
     void (*answered) (void *arg, enum platform_status status), void *arg);
 void lease_free (struct lease *lease);
 
-/* Asks for the lease and renews it until lease_release.  */
+/* Acquires the lease and renews it until lease_release.  */
 void lease_acquire (struct lease *lease);
-/* Ends it at the store, with the keys under it.  */
+/* Releases the lease, which removes the keys under it from the store.  */
 void lease_release (struct lease *lease);
 
-/* Sets the time between renewals.  */
+/* Sets the interval of renewals.  */
 void lease_set_renew (struct lease *lease, clk_ms renew_ms);
 
-/* Tries again at once, if the store did not answer.  */
+/* Retries immediately if the last call failed.  */
 void lease_retry_now (struct lease *lease);
 
+/* Returns whether the lease is to be acquired or renewed.  */
 bool lease_wanted (const struct lease *lease);
 bool lease_valid (const struct lease *lease);
-/* When it ran or runs out.  */
+/* Returns the time at which the lease expires or expired.  */
 clk_ms lease_expires_ms (const struct lease *lease);
-/* Its number as text; empty if there is none.  */
+/* Returns the store's id of the lease; empty if there is none.  */
 const char *lease_id (const struct lease *lease);
 
-/* The store said that it has ended.  */
+/* To be called when the store reports that the lease has ended.  */
 void lease_lost (struct lease *lease);
 
 #endif
--- a/src/proxy/mirror.c
+++ b/src/proxy/mirror.c
@@ -13,21 +13,21 @@
   struct platform_port *port;
   struct hosts *hosts;
   struct relay *relay;
-  char source[NAME_BYTES]; /* the relay that is asked; empty: the store */
+  char source[NAME_BYTES]; /* relay of the call in flight; empty: the store */
   size_t subscriber_count;
   struct mirror_events subscribers[MIRROR_SUBSCRIBERS];
-  bool immediate;
+  bool immediate; /* watch without delay, and not at a relay */
   bool listing;
-  char *after;       /* last key of the page before; NULL for the first */
-  uint64_t revision; /* applied in up to here */
+  char *after;       /* last key of the previous page; NULL: first page */
+  uint64_t revision; /* changes up to here are applied */
   bool complete;
   bool store_reachable;
   uint32_t failures;
   uint64_t call;
   struct ktimer retry_timer;
-  uint64_t expected;
+  uint64_t expected; /* of the latest write by this host */
   struct ktimer expect_timer;
-  uint64_t peer_revision; /* by another host */
+  uint64_t peer_revision; /* latest seen by another host */
   struct ktimer peer_timer;
 };
 
@@ -39,7 +39,7 @@
   return mirror->source[0] != '\0';
 }
 
-/* Whether a watch of the store is under way.  */
+/* Returns whether a watch call to the store is in flight.  */
 static bool
 is_watching (const struct mirror *mirror)
 {
@@ -140,7 +140,7 @@
 {
   if (mirror->after == NULL)
     {
-      /* Pages are no snapshot: changes since the first are watched for.  */
+      /* Pages are no snapshot: the watch starts from the first page.  */
       mirror->revision = reply->index;
       begin_list (mirror);
     }
@@ -222,7 +222,7 @@
                                     .index = got->revision,
                                     .created = got->created,
                                     .removed = got->removed };
-      /* Values are NUL-terminated here.  */
+      /* Subscribers expect NUL-terminated values.  */
       item.value = mem_zalloc (item.value_bytes + 1);
       memcpy (item.value, got->value.value_val, item.value_bytes);
       apply_item (mirror, &item);
@@ -252,8 +252,8 @@
   next_call (mirror);
 }
 
-/* Asks the relay that this host follows, if there is one and the store was
-   not found to be away.  */
+/* Queries the relay that this host follows, if there is one, for changes.
+   After failures the store itself is queried.  */
 static bool
 follow_relay (struct mirror *mirror)
 {
@@ -286,7 +286,7 @@
           .timeout_ms = MIRROR_CALL_TIMEOUT_MS };
   if (follow_relay (mirror))
     return;
-  /* After a failure a short watch tells soon whether the store is back.  */
+  /* After a failure a short watch shows early whether the store answers.  */
   if (!mirror->listing && mirror->failures > 0)
     call.wait_ms = 1;
   mirror->call
@@ -299,7 +299,7 @@
   next_call (arg);
 }
 
-/* Gives up the call that is under way.  */
+/* Cancels the call in flight.  */
 static void
 cancel_call (struct mirror *mirror)
 {
@@ -372,7 +372,8 @@
   struct kernel *kernel = mirror->base.kernel;
   if (revision > mirror->peer_revision)
     mirror->peer_revision = revision;
-  /* While changes settle no watch waits; the next one brings them.  */
+  /* In the delay before a watch no call is in flight; the next watch delivers
+     the changes.  */
   if (mirror->peer_revision > mirror->revision && mirror->call != 0
       && mirror->peer_timer.slot == 0)
     kernel_timer_set (kernel, &mirror->peer_timer,
--- a/src/proxy/mirror.h
+++ b/src/proxy/mirror.h
@@ -1,10 +1,12 @@
-/* mirror - follows the platform's store.
+/* mirror - follows the contents of the platform's store.
 
-   Reads all keys page by page, then watches for changes with one call at a
-   time, at the store or at the relay that this host follows.  Where the store
-   has forgotten the history, it reads all again; keys that are missing then
-   count as removed.  While the store does not answer it keeps trying.
-   Subscribers get the keys below their prefix.
+   Lists all keys page by page, then watches for changes with one call at a
+   time, sent to the store or to the relay that this host follows.  If the
+   store has compacted the history since the last known revision, the mirror
+   lists all keys again; keys that are missing then count as removed.  Failed
+   calls are retried without end.
+
+   Subscribers receive the items whose key begins with their prefix.
 
    Module name: "mirror".  */
 
@@ -14,44 +16,49 @@
 #include "kernel/kernel.h"
 #include "port/platform_port.h"
 
-/* Of one watch; keep-alive probes notice a dead connection earlier.  */
+/* Wait of a watch call.  TCP keep-alive detects a dead connection earlier.  */
 #define MIRROR_WAIT_MS 30000
 #define MIRROR_CALL_TIMEOUT_MS 1200
+/* Limits of the exponential backoff.  Refused calls have a cost too, so the
+   upper limit can't be much shorter.  */
 #define MIRROR_RETRY_FIRST_MS 60
-/* Refused calls have their price.  */
 #define MIRROR_RETRY_LAST_MS 350
 
-/* After a listing or a change the next watch begins so much later, so that
-   changes that come together cost one call; well under the time in which a
-   configuration must be in force.  */
+/* Delay between a listing or a change and the next watch, so that changes in
+   quick succession cost one call.  It is well below the time within which a
+   configuration must take effect.  */
 #define MIRROR_WATCH_DELAY_MS 1500
-/* The same for a relay, of which a domain has few: others wait for it.  */
+/* Shorter for a relay, since other hosts depend on it; a failure domain has
+   few relays.  */
 #define MIRROR_RELAY_WATCH_DELAY_MS 400
 
-/* Of a question to a relay, beyond the time that it waits.  */
+/* Added to the wait of a call to a relay for its timeout.  */
 #define MIRROR_FOLLOW_MARGIN_MS 300
 
+/* Time within which the watch must deliver a write of this host.  */
 #define MIRROR_OWN_WRITE_WAIT_MS 2000
 
-/* For a watch that waits to tell what another host has seen.  */
+/* Time within which a pending watch must deliver the changes that another
+   host has seen.  */
 #define MIRROR_PEER_REVISION_WAIT_MS 400
 
 #define MIRROR_SUBSCRIBERS 8
 
-/* ITEM and REMOVED may both be NULL.  */
+/* Callbacks of a subscriber; all may be NULL.  ITEM and REMOVED are either
+   both set or both NULL.  */
 struct mirror_events
 {
   const char *prefix;
   void (*item) (void *arg, const struct platform_item *item);
   void (*removed) (void *arg, const char *key, uint64_t revision);
-  /* Around a full listing.  May be NULL.  */
+  /* Called before and after a full listing.  */
   void (*begin_list) (void *arg);
   void (*end_list) (void *arg, uint64_t revision);
-  /* After what one answer brought; not between the pages of a listing.  May
-     be NULL.  */
+  /* Called when the items of one reply have been applied, but not between the
+     pages of a listing.  */
   void (*applied) (void *arg);
-  /* The store answers, or no longer does.  May be NULL.  */
-  void (*reachable_changed) (void *arg, bool reached);
+  /* Called when the store becomes reachable or unreachable.  */
+  void (*reachable_changed) (void *arg, bool reachable);
   void *arg;
 };
 
@@ -60,39 +67,40 @@
 struct mirror *mirror_new (struct platform_port *port);
 struct module *mirror_module (struct mirror *mirror);
 
-/* EVENTS outlive the mirror's start.  */
+/* Adds a subscriber, of at most MIRROR_SUBSCRIBERS.  Copies EVENTS, but not
+   the text of its prefix.  To be called when modules start.  */
 void mirror_subscribe (struct mirror *mirror,
                        const struct mirror_events *events);
 
-/* Sets whether changes are wanted without delay.  */
-void mirror_set_immediate (struct mirror *mirror, bool prompt);
+/* Sets whether this host needs changes without delay.  It then watches the
+   store itself instead of following a relay.  */
+void mirror_set_immediate (struct mirror *mirror, bool immediate);
 
-/* This host wrote what the store has at REVISION: a watch that does not tell
-   of it within MIRROR_OWN_WRITE_WAIT_MS has gone silent, and is begun again.
- */
+/* Notes a write of this host at REVISION.  A watch that does not deliver it
+   within MIRROR_OWN_WRITE_WAIT_MS is taken for lost, and is restarted.  */
 void mirror_expect (struct mirror *mirror, uint64_t revision);
 
-/* What the store had up to here has been applied in.  */
+/* Returns the store revision up to which changes have been applied.  */
 uint64_t mirror_revision (const struct mirror *mirror);
 
-/* Another host has seen the store at REVISION: if this host's watch does not
-   tell of it within MIRROR_PEER_REVISION_WAIT_MS it is begun again.  */
+/* Notes that another host has seen the store at REVISION.  A watch that does
+   not reach it within MIRROR_PEER_REVISION_WAIT_MS is restarted.  */
 void mirror_set_peer_revision (struct mirror *mirror, uint64_t revision);
 
-/* Whether this host follows a relay just now.  */
+/* Returns whether a call to a relay is in flight.  */
 bool mirror_follows_relay (const struct mirror *mirror);
 
-/* Begins the watch anew: the store refused other calls meanwhile, and may have
-   lost it.  */
+/* Restarts the watch after the store has refused other calls: it may have lost
+   the watch as well.  */
 void mirror_restart_watch (struct mirror *mirror);
 
-/* Reads all keys again.  */
+/* Lists all keys again.  */
 void mirror_restart_list (struct mirror *mirror);
 
-/* Whether a full listing has been applied in.  */
+/* Returns whether a full listing has been applied.  */
 bool mirror_complete (const struct mirror *mirror);
 
-/* Whether the last call was answered.  */
+/* Returns whether the store, or the relay in its place, answers.  */
 bool mirror_store_reachable (const struct mirror *mirror);
 
 #endif
--- a/src/proxy/relay.c
+++ b/src/proxy/relay.c
@@ -11,7 +11,7 @@
 #include "kernel/text.h"
 #include "proxy/mirror.h"
 
-/* A key of the store, or one that was removed.  */
+/* A key of the store, present or removed.  */
 struct relay_item
 {
   char *key;
@@ -20,11 +20,11 @@
   uint64_t revision;
   uint64_t created;
   bool removed;
-  bool listed;
+  bool listed; /* seen in the current full listing */
   UT_hash_handle hh;
 };
 
-/* A follow_call that waits for something newer.  */
+/* A call of another host that waits for changes after REVISION.  */
 struct follow_call
 {
   struct relay *relay;
@@ -35,8 +35,7 @@
   struct follow_call *next;
 };
 
-/* A relay that did not reply_follow, or did not reachable_changed the store.
- */
+/* A relay that did not answer or did not reach the store.  */
 struct failed_relay
 {
   char host[NAME_BYTES];
@@ -49,10 +48,10 @@
   struct hosts *hosts;
   struct mirror *mirror;
   uint32_t capacity;
-  bool store_refuses; /* by the store */
-  bool active;   /* this host is a relay, and has all from the next listing */
-  bool complete; /* a listing was kept */
-  uint64_t removals_after; /* removals after this revision are remembered */
+  bool store_refuses;
+  bool active;             /* this host is a relay and keeps the contents */
+  bool complete;           /* the contents of a full listing are kept */
+  uint64_t removals_after; /* removals up to this one may be dropped */
   size_t removed_count;
   struct relay_item *items;
   struct follow_call *follow_calls;
@@ -62,7 +61,8 @@
   struct failed_relay failed[RELAY_HOSTS];
 };
 
-/* Orders hosts of one failure domain as relays.  */
+/* Returns whether a host of a failure domain has priority over another one as
+   a relay: by capacity, then by a hash of the name.  */
 static bool
 ranks_before (uint32_t capacity, const char *name, uint32_t other_capacity,
               const char *other_name)
@@ -74,7 +74,7 @@
   return own != other ? own > other : strcmp (name, other_name) < 0;
 }
 
-/* The relays of a failure domain, the best one first, of the other hosts.  */
+/* The relays of a failure domain among the other hosts, in order of rank.  */
 struct relays
 {
   const char *zone;
@@ -124,7 +124,7 @@
   return domains;
 }
 
-/* Whether this host is one of the relays of its failure domain, OWN.  */
+/* Returns whether this host is a relay of its failure domain, OWN.  */
 static bool
 is_relay (const struct relay *relay, const struct relays *own)
 {
@@ -136,8 +136,8 @@
   return own->domain_hosts >= RELAY_MIN_DOMAIN_HOSTS && before < RELAY_HOSTS;
 }
 
-/* Whether HOST follows the store: where its failure domain has relays, only
-   they do.  */
+/* Returns whether HOST follows the store itself.  In a failure domain with
+   relays only they do.  */
 static bool
 is_watcher (const struct relays *domain, const struct other_host *host)
 {
@@ -233,8 +233,8 @@
   relay->complete = false;
 }
 
-/* Forgets all removals that are remembered; hosts that missed one get all.
-   This is rare, as hosts keep up.  */
+/* Drops all removed keys.  Hosts that missed one receive the whole contents,
+   which is rare since hosts keep up.  */
 static void
 purge_removed (struct relay *relay)
 {
@@ -421,7 +421,7 @@
 on_reachable_changed (void *arg, bool reached)
 {
   struct relay *relay = arg;
-  /* The hosts that wait find out for themselves.  */
+  /* The reply tells waiting hosts that this relay does not reach the store. */
   while (!reached && relay->follow_calls != NULL)
     end_follow_call (relay->follow_calls);
 }
--- a/src/proxy/relay.h
+++ b/src/proxy/relay.h
@@ -1,11 +1,12 @@
-/* relay - in a large failure domain a few hosts follow the store, and the
-   others follow them.
-
-   Each call of the store has its price, a watch too, and the store's rates
-   grow more slowly than the fleet.  The RELAY_HOSTS hosts of the greatest
-   capacity of a failure domain keep what the store holds, and answer other
-   hosts' questions for what is newer than a revision.  A host whose relay
-   does not answer, or can't reach the store, asks the next one, then the
+/* relay - lets hosts of a large failure domain read the store's contents from
+   a few hosts of the domain instead of the store.
+
+   Each call to the store has a cost, and so has each watch, and the call rates
+   that the store allows grow more slowly than the number of hosts.  In a large
+   failure domain the RELAY_HOSTS hosts of the highest capacity are relays:
+   they follow the store, keep a copy of its contents, and answer requests of
+   other hosts for changes after a revision.  A host whose relay does not
+   answer, or can't reach the store, falls back to the next relay, then to the
    store itself.
 
    Module name: "relay".  */
@@ -16,20 +17,23 @@
 #include "kernel/kernel.h"
 #include "proxy/hosts.h"
 
-/* Hosts of a failure domain that others may follow, and how many it must
-   have for that: below, the calls saved are not worth the step between.  */
+/* Number of relays of a failure domain.  */
 #define RELAY_HOSTS 2
 #define RELAY_MAX_DOMAINS 32
+/* A failure domain with fewer hosts has no relays: the calls saved would not
+   be worth the additional hop.  */
 #define RELAY_MIN_DOMAIN_HOSTS 12
 
-/* How long a relay holds a question while nothing is newer; a host must learn
-   of a configuration in time though its relay froze.  */
+/* How long a relay delays its reply while there are no changes.  Limited,
+   since a host must receive a new configuration in time even if its relay
+   hangs.  */
 #define RELAY_WAIT_MS 600
 
-/* A relay that failed is not asked for this long.  */
+/* How long a relay that failed is not used.  */
 #define RELAY_FAILED_MS 4000
 
-/* Removed keys that are remembered; a host that missed more gets all.  */
+/* Most removed keys that a relay keeps.  With more it drops them all, and a
+   host that missed one receives the whole contents.  */
 #define RELAY_MAX_REMOVED 512
 
 struct relay;
@@ -37,28 +41,29 @@
 struct relay *relay_new (void);
 struct module *relay_module (struct relay *relay);
 
-/* Sets this host's capacity, in the unit of the other hosts' (other_host).  */
+/* Sets the capacity of this host, in Mbit/s as in struct other_host.  */
 void relay_set_capacity (struct relay *relay, uint32_t capacity);
 
-/* The hosts have changed: finds out whether this one is a relay.  */
+/* To be called when the list of hosts changes.  Determines whether this host
+   is a relay.  */
 void relay_hosts_changed (struct relay *relay);
 
-/* Whether other hosts may follow this one.  */
+/* Returns whether this host is a relay.  */
 bool relay_serves (const struct relay *relay);
 
-/* The host that this one follows, or NULL: it follows the store.  */
+/* Returns the relay that this host should follow, or NULL for the store.  */
 const struct other_host *relay_source (const struct relay *relay);
 
-/* The other hosts that follow the store themselves.  Valid until the hosts
-   change.  */
+/* Returns the other hosts that follow the store itself.  The array is valid
+   until the list of hosts changes.  */
 const struct other_host *const *relay_watchers (const struct relay *relay,
                                                 size_t *count);
 
-/* The store refuses this host's calls, or takes them again: a watch that waits
-   tells nothing of that.  */
+/* Sets whether the store refuses calls of this host, which a pending watch
+   does not reveal.  */
 void relay_store_refuses (struct relay *relay, bool refuses);
 
-/* The host NAME did not answer, or does not reach the store.  */
+/* Notes that the relay NAME did not answer or does not reach the store.  */
 void relay_failed (struct relay *relay, const char *name);
 
 #endif
--- a/src/proxy/revisions.c
+++ b/src/proxy/revisions.c
@@ -13,7 +13,7 @@
   struct hosts *hosts;
   struct mirror *mirror;
   struct relay *relay;
-  uint64_t sent_revision; /* the newest */
+  uint64_t sent_revision; /* the latest that is being sent */
   clk_ms send_until_ms;
   struct ktimer send_timer;
 };
@@ -23,7 +23,7 @@
 {
   peer_body body = { .kind = PEER_KIND_HEARTBEAT };
   body.peer_body_u.heartbeat.revision = mirror_revision (revisions->mirror);
-  /* Told again soon, whatever comes of it.  */
+  /* The reply is ignored: the revision is sent repeatedly.  */
   hosts_call (revisions->hosts, &host->address, &body,
               REVISIONS_CALL_TIMEOUT_MS, NULL, NULL);
 }
--- a/src/proxy/revisions.h
+++ b/src/proxy/revisions.h
@@ -1,10 +1,11 @@
-/* revisions - hosts that follow the store tell each other how much of it they
-   have seen.
+/* revisions - exchanges the latest known store revision between the hosts that
+   follow the store.
 
-   A watch may be lost by the store, or begin in a moment in which the store
-   forgets its history, and then wait without end; other hosts' watches tell.
-   For REVISIONS_SEND_PERIOD_MS after something new each host tells a few
-   others, drawn anew each time; in calm times none.
+   The store may lose a watch.  A watch may also begin just when the store
+   compacts its history, and then wait without end.  A host detects both by the
+   revisions of other hosts.  For REVISIONS_SEND_PERIOD_MS after a change each
+   host sends its revision every REVISIONS_SEND_INTERVAL_MS to REVISIONS_FANOUT
+   hosts chosen at random; without changes nothing is sent.
 
    Module name: "revisions".  */
 
--- a/src/proxy/roster.c
+++ b/src/proxy/roster.c
@@ -61,7 +61,7 @@
   relay_store_refuses (roster->relay, refuses);
   if (!refuses)
     mirror_restart_watch (roster->mirror);
-  roster_report (roster, WITNESS_STORE, refuses ? WITNESS_STORE : NULL);
+  roster_report (roster, SUSPICIONS_STORE, refuses ? SUSPICIONS_STORE : NULL);
 }
 
 static void
@@ -209,7 +209,7 @@
 }
 
 static void
-on_shrink (void *arg)
+on_shrink_timer (void *arg)
 {
   struct roster *roster = arg;
   roster->peak_hosts = 0;
@@ -279,7 +279,7 @@
   char holder[NAME_BYTES];
   const struct roster_key *key = roster_find_key (roster, DUTY_KEY);
   bool mine = key != NULL && strcmp (key->value, roster->self) == 0;
-  witness_set_holder (roster->suspicions, holder_name (key, holder));
+  suspicions_set_holder (roster->suspicions, holder_name (key, holder));
   if (mine)
     ensure_secret (roster);
   log_event (kernel_log (roster->base.kernel), LOG_NOTICE, "duty",
@@ -419,7 +419,7 @@
   roster->relay = (struct relay *)kernel_find (module->kernel, "relay");
   relay_set_capacity (roster->relay, roster->capacity);
   roster->suspicions
-      = (struct suspicions *)kernel_find (module->kernel, "witness");
+      = (struct suspicions *)kernel_find (module->kernel, "suspicions");
   update_hosts (roster);
   mirror_subscribe (roster->mirror, &events);
   roster->host_lease = lease_new (module->kernel, roster->store, "host_lease",
@@ -428,9 +428,10 @@
   roster->duty_lease = lease_new (
       module->kernel, roster->store, "duty_lease", ROSTER_DUTY_LEASE_MS,
       ROSTER_DUTY_RENEW_MS, roster_duty_lease_gained, lease_answered, roster);
-  roster->shrink_timer = (struct ktimer){ .fire = on_shrink, .arg = roster };
+  roster->shrink_timer
+      = (struct ktimer){ .fire = on_shrink_timer, .arg = roster };
   roster->claim_timer
-      = (struct ktimer){ .fire = roster_on_claim, .arg = roster };
+      = (struct ktimer){ .fire = roster_on_claim_timer, .arg = roster };
   lease_acquire (roster->host_lease);
 }
 
--- a/src/proxy/roster_duty.c
+++ b/src/proxy/roster_duty.c
@@ -15,9 +15,10 @@
 static bool
 is_store_outage (const struct roster *roster)
 {
-  struct roster_report_count view
-      = roster_count_reports (roster, WITNESS_STORE, WITNESS_STORE);
-  return roster->store_refuses && 2 * view.domains_reporting > view.domains;
+  struct roster_report_count counts
+      = roster_count_reports (roster, SUSPICIONS_STORE, SUSPICIONS_STORE);
+  return roster->store_refuses
+         && 2 * counts.domains_reporting > counts.domains;
 }
 
 bool
@@ -97,7 +98,7 @@
 }
 
 void
-roster_on_claim (void *arg)
+roster_on_claim_timer (void *arg)
 {
   struct roster *roster = arg;
   if (roster->leaving || roster->claiming || !mirror_complete (roster->mirror)
--- a/src/proxy/roster_impl.h
+++ b/src/proxy/roster_impl.h
@@ -108,7 +108,7 @@
 void roster_set_store_status (struct roster *roster,
                               enum platform_status status);
 
-/* roster_count_reports.c */
+/* roster_reports.c */
 /* Tracks this host's report with the key NAME.  */
 void roster_track_report (struct roster *roster, const char *name);
 
@@ -117,7 +117,7 @@
 void roster_claim_within (struct roster *roster, clk_ms spread_ms);
 /* The same with the default jitter.  */
 void roster_claim_soon (struct roster *roster);
-void roster_on_claim (void *arg);
+void roster_on_claim_timer (void *arg);
 void roster_duty_lease_gained (void *arg);
 
 #endif
--- a/src/proxy/roster_reports.c
+++ b/src/proxy/roster_reports.c
@@ -47,7 +47,7 @@
   if (state->call != 0 || !lease_valid (roster->host_lease)
       || !mirror_store_reachable (roster->mirror)
       || roster_now (roster) < state->next_write_ms
-      || strcmp (state->group, WITNESS_STORE) == 0
+      || strcmp (state->group, SUSPICIONS_STORE) == 0
       || strcmp (stored, state->wanted) == 0)
     return;
   state->call = 1;
@@ -83,7 +83,7 @@
               roster->zone);
   else
     state->wanted[0] = '\0';
-  witness_report (roster->suspicions, group, instance);
+  suspicions_report (roster->suspicions, group, instance);
   send_report (state);
 }
 
@@ -160,8 +160,8 @@
   for (key = roster->keys; key != NULL; key = key->hh.next)
     counted.count += strncmp (key->name, prefix, strlen (prefix)) == 0
                      && report_matches (key->value, instance, domain);
-  witness_each (roster->suspicions, group, instance, count_direct_report,
-                &counted);
+  suspicions_each (roster->suspicions, group, instance, count_direct_report,
+                   &counted);
   return counted.count;
 }
 
@@ -189,7 +189,7 @@
   const struct roster_key *key = roster_find_key (roster, name);
   if (key != NULL && report_names (key->value, instance))
     return true;
-  return witness_hears (roster->suspicions, group, instance, host);
+  return suspicions_has (roster->suspicions, group, instance, host);
 }
 
 /* A failure domain and its number of hosts with connections to a group.  */
@@ -245,7 +245,7 @@
   for (state = roster->reports; state != NULL; state = state->hh.next)
     if (state->wanted[0] != '\0')
       return true;
-  return roster->report_keys > 0 || witness_hears_any (roster->suspicions);
+  return roster->report_keys > 0 || suspicions_any (roster->suspicions);
 }
 
 struct roster_report_count
@@ -253,9 +253,9 @@
                       const char *instance)
 {
   struct report_domains domains = { 0 };
-  struct roster_report_count view = { 0 };
+  struct roster_report_count counts = { 0 };
   if (!has_reports (roster))
-    return view;
+    return counts;
   list_domains (roster, group, &domains);
   for (size_t i = 0; i < domains.count; i++)
     {
@@ -264,12 +264,12 @@
       if (strcmp (domain->name, roster->zone) == 0)
         reports += reports_itself (roster, group, instance);
       /* Includes the holder of the duty, which may not serve GROUP.  */
-      view.hosts_reporting += reports;
+      counts.hosts_reporting += reports;
       if (domain->hosts == 0)
         continue;
-      view.hosts += domain->hosts;
-      view.domains++;
-      view.domains_reporting += 3 * reports >= 2 * domain->hosts;
+      counts.hosts += domain->hosts;
+      counts.domains++;
+      counts.domains_reporting += 3 * reports >= 2 * domain->hosts;
     }
-  return view;
+  return counts;
 }
--- a/src/proxy/suspicions.c
+++ b/src/proxy/suspicions.c
@@ -10,16 +10,16 @@
 #include "kernel/text.h"
 #include "proxy/hosts.h"
 
-/* What this host reports.  */
+/* A report of this host.  */
 struct own_report
 {
   char group[NAME_BYTES];
-  char instance[NAME_BYTES]; /* empty: nothing */
-  bool withdrawn;            /* still to be told */
+  char instance[NAME_BYTES]; /* empty: no report */
+  bool withdrawn;            /* the withdrawal has not been sent */
   UT_hash_handle hh;
 };
 
-/* What another host reported last of a group.  */
+/* The latest report of another host about a group.  */
 struct received_report
 {
   char host[NAME_BYTES];
@@ -35,7 +35,7 @@
 {
   struct module base;
   struct hosts *hosts;
-  char holder[NAME_BYTES]; /* of the duty; empty: none */
+  char holder[NAME_BYTES]; /* of the promotion duty; empty: none */
   struct own_report *reports;
   struct received_report *received;
   struct ktimer send_timer;
@@ -50,8 +50,9 @@
       = (peer_suspicion){ .database = (char *)report->group,
                           .primary = (char *)report->instance,
                           .suspected = report->instance[0] != '\0' };
-  /* Told again soon, whatever comes of it.  */
-  hosts_call (suspicions->hosts, to, &body, WITNESS_CALL_MS, NULL, NULL);
+  /* The reply is ignored: the report is repeated.  */
+  hosts_call (suspicions->hosts, to, &body, SUSPICIONS_CALL_TIMEOUT_MS, NULL,
+              NULL);
 }
 
 static void
@@ -61,7 +62,7 @@
   size_t count;
   const struct other_host *others = hosts_list (suspicions->hosts, &count);
   for (size_t i = 0; i < count; i++)
-    if (i < WITNESS_FANOUT
+    if (i < SUSPICIONS_FANOUT
         || strcmp (others[i].address.name, suspicions->holder) == 0)
       send_report (suspicions, report, &others[i].address);
 }
@@ -70,13 +71,13 @@
 remove_stale (struct suspicions *suspicions)
 {
   clk_ms now_ms = kernel_now (suspicions->base.kernel);
-  struct received_report *received_report, *next;
-  DL_FOREACH_SAFE (suspicions->received, received_report, next)
+  struct received_report *entry, *next;
+  DL_FOREACH_SAFE (suspicions->received, entry, next)
   {
-    if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS)
+    if (now_ms - entry->received_ms <= SUSPICIONS_VALID_MS)
       continue;
-    DL_DELETE (suspicions->received, received_report);
-    free (received_report);
+    DL_DELETE (suspicions->received, entry);
+    free (entry);
   }
 }
 
@@ -98,12 +99,12 @@
     }
   if (again)
     kernel_timer_set (kernel, &suspicions->send_timer,
-                      kernel_now (kernel) + WITNESS_TELL_MS);
+                      kernel_now (kernel) + SUSPICIONS_SEND_INTERVAL_MS);
 }
 
 void
-witness_report (struct suspicions *suspicions, const char *group,
-                const char *instance)
+suspicions_report (struct suspicions *suspicions, const char *group,
+                   const char *instance)
 {
   struct kernel *kernel = suspicions->base.kernel;
   struct own_report *report;
@@ -128,12 +129,11 @@
 find_received (const struct suspicions *suspicions, const char *host,
                const char *group)
 {
-  struct received_report *received_report;
-  DL_FOREACH (suspicions->received, received_report)
+  struct received_report *entry;
+  DL_FOREACH (suspicions->received, entry)
   {
-    if (strcmp (received_report->host, host) == 0
-        && strcmp (received_report->group, group) == 0)
-      return received_report;
+    if (strcmp (entry->host, host) == 0 && strcmp (entry->group, group) == 0)
+      return entry;
   }
   return NULL;
 }
@@ -143,23 +143,22 @@
 {
   const peer_suspicion *report = &message->body.peer_body_u.suspicion;
   remove_stale (suspicions);
-  struct received_report *received_report
+  struct received_report *entry
       = find_received (suspicions, message->from.host, report->database);
-  if (received_report == NULL)
+  if (entry == NULL)
     {
-      received_report = mem_zalloc (sizeof *received_report);
-      if (!text_copy (received_report->host, NAME_BYTES, message->from.host)
-          || !text_copy (received_report->zone, NAME_BYTES,
-                         message->from.domain)
-          || !text_copy (received_report->group, NAME_BYTES, report->database))
+      entry = mem_zalloc (sizeof *entry);
+      if (!text_copy (entry->host, NAME_BYTES, message->from.host)
+          || !text_copy (entry->zone, NAME_BYTES, message->from.domain)
+          || !text_copy (entry->group, NAME_BYTES, report->database))
         {
-          free (received_report);
+          free (entry);
           return;
         }
-      DL_APPEND (suspicions->received, received_report);
+      DL_APPEND (suspicions->received, entry);
     }
-  if (text_copy (received_report->instance, NAME_BYTES, report->primary))
-    received_report->received_ms = kernel_now (suspicions->base.kernel);
+  if (text_copy (entry->instance, NAME_BYTES, report->primary))
+    entry->received_ms = kernel_now (suspicions->base.kernel);
 }
 
 static void
@@ -172,56 +171,56 @@
 }
 
 void
-witness_set_holder (struct suspicions *suspicions, const char *host)
+suspicions_set_holder (struct suspicions *suspicions, const char *host)
 {
   if (host == NULL || !text_copy (suspicions->holder, NAME_BYTES, host))
     suspicions->holder[0] = '\0';
 }
 
 void
-witness_each (struct suspicions *suspicions, const char *group,
-              const char *instance,
-              void (*fn) (void *arg, const char *host, const char *zone),
-              void *arg)
+suspicions_each (struct suspicions *suspicions, const char *group,
+                 const char *instance,
+                 void (*fn) (void *arg, const char *host, const char *zone),
+                 void *arg)
 {
   clk_ms now_ms = kernel_now (suspicions->base.kernel);
-  const struct received_report *received_report;
-  DL_FOREACH (suspicions->received, received_report)
+  const struct received_report *entry;
+  DL_FOREACH (suspicions->received, entry)
   {
-    if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS
-        && strcmp (received_report->group, group) == 0
-        && strcmp (received_report->instance, instance) == 0)
-      fn (arg, received_report->host, received_report->zone);
+    if (now_ms - entry->received_ms <= SUSPICIONS_VALID_MS
+        && strcmp (entry->group, group) == 0
+        && strcmp (entry->instance, instance) == 0)
+      fn (arg, entry->host, entry->zone);
   }
 }
 
 bool
-witness_hears (const struct suspicions *suspicions, const char *group,
-               const char *instance, const char *host)
+suspicions_has (const struct suspicions *suspicions, const char *group,
+                const char *instance, const char *host)
 {
-  const struct received_report *received_report
+  const struct received_report *entry
       = find_received (suspicions, host, group);
-  return received_report != NULL
-         && kernel_now (suspicions->base.kernel) - received_report->received_ms
-                <= WITNESS_FRESH_MS
-         && strcmp (received_report->instance, instance) == 0;
+  return entry != NULL
+         && kernel_now (suspicions->base.kernel) - entry->received_ms
+                <= SUSPICIONS_VALID_MS
+         && strcmp (entry->instance, instance) == 0;
 }
 
 bool
-witness_hears_any (const struct suspicions *suspicions)
+suspicions_any (const struct suspicions *suspicions)
 {
   clk_ms now_ms = kernel_now (suspicions->base.kernel);
-  const struct received_report *received_report;
-  DL_FOREACH (suspicions->received, received_report)
+  const struct received_report *entry;
+  DL_FOREACH (suspicions->received, entry)
   {
-    if (now_ms - received_report->received_ms <= WITNESS_FRESH_MS)
+    if (now_ms - entry->received_ms <= SUSPICIONS_VALID_MS)
       return true;
   }
   return false;
 }
 
 static void
-witness_free (struct module *module)
+suspicions_free (struct module *module)
 {
   struct suspicions *suspicions = (struct suspicions *)module;
   struct own_report *report, *next_report;
@@ -233,15 +232,15 @@
   }
   while (suspicions->received != NULL)
     {
-      struct received_report *received_report = suspicions->received;
-      DL_DELETE (suspicions->received, received_report);
-      free (received_report);
+      struct received_report *entry = suspicions->received;
+      DL_DELETE (suspicions->received, entry);
+      free (entry);
     }
   free (suspicions);
 }
 
 static void
-witness_start (struct module *module)
+suspicions_start (struct module *module)
 {
   struct suspicions *suspicions = (struct suspicions *)module;
   suspicions->hosts = (struct hosts *)kernel_find (module->kernel, "hosts");
@@ -249,15 +248,15 @@
                 suspicions);
 }
 
-static const struct module_ops witness_ops
-    = { .start = witness_start, .free = witness_free };
+static const struct module_ops suspicions_ops
+    = { .start = suspicions_start, .free = suspicions_free };
 
 struct suspicions *
 suspicions_new (void)
 {
   struct suspicions *suspicions = mem_zalloc (sizeof *suspicions);
-  suspicions->base.ops = &witness_ops;
-  suspicions->base.name = "witness";
+  suspicions->base.ops = &suspicions_ops;
+  suspicions->base.name = "suspicions";
   suspicions->send_timer
       = (struct ktimer){ .fire = on_send_timer, .arg = suspicions };
   return suspicions;
