--- a/src/proxy/mirror.c
+++ b/src/proxy/mirror.c
@@ -24,7 +24,7 @@
   bool store_reachable;
   uint32_t failures;
   uint64_t call;
-  struct ktimer retry_timer;
+  struct ktimer next_call_timer;
   uint64_t expected; /* of the latest write by this host */
   struct ktimer expect_timer;
   uint64_t peer_revision; /* latest seen by another host */
@@ -48,19 +48,19 @@
 }
 
 static void
-set_store_reachable (struct mirror *mirror, bool reached)
+set_store_reachable (struct mirror *mirror, bool reachable)
 {
-  if (mirror->store_reachable == reached)
+  if (mirror->store_reachable == reachable)
     return;
-  mirror->store_reachable = reached;
+  mirror->store_reachable = reachable;
   log_event (kernel_log (mirror->base.kernel),
-             reached ? LOG_NOTICE : LOG_WARNING,
-             reached ? "store_regained" : "store_lost",
+             reachable ? LOG_NOTICE : LOG_WARNING,
+             reachable ? "store_regained" : "store_lost",
              LOG_U ("revision", mirror->revision));
   for (size_t i = 0; i < mirror->subscriber_count; i++)
     if (mirror->subscribers[i].reachable_changed != NULL)
       mirror->subscribers[i].reachable_changed (mirror->subscribers[i].arg,
-                                                reached);
+                                                reachable);
 }
 
 static void
@@ -75,7 +75,7 @@
   mirror->failures++;
   wait_ms += (clk_ms)rng_below (kernel_rng (mirror->base.kernel),
                                 (uint64_t)wait_ms);
-  kernel_timer_set (mirror->base.kernel, &mirror->retry_timer,
+  kernel_timer_set (mirror->base.kernel, &mirror->next_call_timer,
                     kernel_now (mirror->base.kernel) + wait_ms);
 }
 
@@ -202,7 +202,7 @@
   if (!mirror->listing)
     notify_applied (mirror);
   if (has_changes && !mirror->immediate)
-    kernel_timer_set (mirror->base.kernel, &mirror->retry_timer,
+    kernel_timer_set (mirror->base.kernel, &mirror->next_call_timer,
                       kernel_now (mirror->base.kernel)
                           + watch_delay_ms (mirror));
   else
@@ -240,11 +240,11 @@
 {
   struct mirror *mirror = arg;
   bool answered = status == PEER_OK && reply->body.kind == PEER_KIND_FOLLOWED;
-  bool reached = answered && reply->body.peer_body_u.followed.reached;
+  bool reachable = answered && reply->body.peer_body_u.followed.reached;
   mirror->call = 0;
   if (answered)
     apply_relay_reply (mirror, &reply->body.peer_body_u.followed);
-  if (reached)
+  if (reachable)
     set_store_reachable (mirror, true);
   else
     relay_failed (mirror->relay, mirror->source);
@@ -294,7 +294,7 @@
 }
 
 static void
-on_retry_timer (void *arg)
+on_next_call_timer (void *arg)
 {
   next_call (arg);
 }
@@ -318,7 +318,7 @@
 {
   cancel_call (mirror);
   start_list (mirror);
-  kernel_timer_set (mirror->base.kernel, &mirror->retry_timer,
+  kernel_timer_set (mirror->base.kernel, &mirror->next_call_timer,
                     kernel_now (mirror->base.kernel));
 }
 
@@ -395,7 +395,7 @@
 {
   struct mirror *mirror = (struct mirror *)module;
   cancel_call (mirror);
-  kernel_timer_cancel (module->kernel, &mirror->retry_timer);
+  kernel_timer_cancel (module->kernel, &mirror->next_call_timer);
   kernel_timer_cancel (module->kernel, &mirror->expect_timer);
   kernel_timer_cancel (module->kernel, &mirror->peer_timer);
   free (mirror->after);
@@ -412,8 +412,8 @@
   mirror->base.ops = &mirror_ops;
   mirror->base.name = "mirror";
   mirror->port = port;
-  mirror->retry_timer.fire = on_retry_timer;
-  mirror->retry_timer.arg = mirror;
+  mirror->next_call_timer.fire = on_next_call_timer;
+  mirror->next_call_timer.arg = mirror;
   mirror->expect_timer
       = (struct ktimer){ .fire = on_expect_timer, .arg = mirror };
   mirror->peer_timer = (struct ktimer){ .fire = on_peer_timer, .arg = mirror };
@@ -444,8 +444,8 @@
       cancel_call (mirror);
       next_call (mirror);
     }
-  if (immediate && mirror->failures == 0 && mirror->retry_timer.slot != 0)
-    kernel_timer_set (kernel, &mirror->retry_timer, kernel_now (kernel));
+  if (immediate && mirror->failures == 0 && mirror->next_call_timer.slot != 0)
+    kernel_timer_set (kernel, &mirror->next_call_timer, kernel_now (kernel));
 }
 
 uint64_t
--- a/src/proxy/mirror.h
+++ b/src/proxy/mirror.h
@@ -77,7 +77,7 @@
 void mirror_set_immediate (struct mirror *mirror, bool immediate);
 
 /* Notes a write of this host at REVISION.  A watch that does not deliver it
-   within MIRROR_OWN_WRITE_WAIT_MS is taken for lost, and is restarted.  */
+   within MIRROR_OWN_WRITE_WAIT_MS is considered lost, and is restarted.  */
 void mirror_expect (struct mirror *mirror, uint64_t revision);
 
 /* Returns the store revision up to which changes have been applied.  */
--- a/src/proxy/relay.c
+++ b/src/proxy/relay.c
@@ -49,9 +49,9 @@
   struct mirror *mirror;
   uint32_t capacity;
   bool store_refuses;
-  bool active;             /* this host is a relay and keeps the contents */
-  bool complete;           /* the contents of a full listing are kept */
-  uint64_t removals_after; /* removals up to this one may be dropped */
+  bool active;              /* this host is a relay and keeps the contents */
+  bool complete;            /* the contents of a full listing are kept */
+  uint64_t purged_revision; /* removals up to it may have been dropped */
   size_t removed_count;
   struct relay_item *items;
   struct follow_call *follow_calls;
@@ -243,8 +243,8 @@
   {
     if (!item->removed)
       continue;
-    if (item->revision > relay->removals_after)
-      relay->removals_after = item->revision;
+    if (item->revision > relay->purged_revision)
+      relay->purged_revision = item->revision;
     free_item (relay, item);
   }
 }
@@ -368,7 +368,7 @@
 static void
 reply_follow (struct relay *relay, uint64_t call, uint64_t revision)
 {
-  bool all = revision < relay->removals_after;
+  bool all = revision < relay->purged_revision;
   size_t count = count_newer (relay, revision, all);
   peer_item *items = mem_zalloc ((count + 1) * sizeof *items);
   peer_body body = { .kind = PEER_KIND_FOLLOWED };
@@ -418,11 +418,11 @@
 }
 
 static void
-on_reachable_changed (void *arg, bool reached)
+on_reachable_changed (void *arg, bool reachable)
 {
   struct relay *relay = arg;
-  /* The reply tells waiting hosts that this relay does not reach the store. */
-  while (!reached && relay->follow_calls != NULL)
+  /* The reply reports to waiting hosts that the store is unreachable.  */
+  while (!reachable && relay->follow_calls != NULL)
     end_follow_call (relay->follow_calls);
 }
 
--- a/src/proxy/roster.c
+++ b/src/proxy/roster.c
@@ -385,12 +385,12 @@
 }
 
 static void
-on_reachable_changed (void *arg, bool reached)
+on_reachable_changed (void *arg, bool reachable)
 {
   struct roster *roster = arg;
   roster_set_store_status (roster,
-                           reached ? PLATFORM_OK : PLATFORM_UNAVAILABLE);
-  if (!reached)
+                           reachable ? PLATFORM_OK : PLATFORM_UNAVAILABLE);
+  if (!reachable)
     return;
   lease_retry_now (roster->host_lease);
   lease_retry_now (roster->duty_lease);
--- a/src/proxy/roster_reports.c
+++ b/src/proxy/roster_reports.c
@@ -121,7 +121,7 @@
 
 /* Number of hosts of a failure domain that report an instance, in the store or
    by direct messages.  */
-struct report_count
+struct domain_report_count
 {
   const struct roster *roster;
   const char *group;
@@ -131,7 +131,7 @@
 };
 
 static bool
-reports_in_store (const struct report_count *counted, const char *host)
+reports_in_store (const struct domain_report_count *counted, const char *host)
 {
   char name[KEY_BYTES];
   snprintf (name, sizeof name, REPORTS_PREFIX "%s/%s", counted->group, host);
@@ -144,7 +144,7 @@
 static void
 count_direct_report (void *arg, const char *host, const char *zone)
 {
-  struct report_count *counted = arg;
+  struct domain_report_count *counted = arg;
   counted->count += strcmp (zone, counted->domain) == 0
                     && !reports_in_store (counted, host);
 }
@@ -153,7 +153,7 @@
 count_reports (const struct roster *roster, const char *group,
                const char *instance, const char *domain)
 {
-  struct report_count counted = { roster, group, instance, domain, 0 };
+  struct domain_report_count counted = { roster, group, instance, domain, 0 };
   char prefix[KEY_BYTES];
   const struct roster_key *key;
   snprintf (prefix, sizeof prefix, REPORTS_PREFIX "%s/", group);
