--- a/src/proxy/suspicions.c
+++ b/src/proxy/suspicions.c
@@ -10,99 +10,101 @@
 #include "kernel/text.h"
 #include "proxy/hosts.h"
 
-/* What this host reports.  */
+/* A report of this host.  */
 struct own_report
 {
   char group[NAME_BYTES];
-  char instance[NAME_BYTES]; /* empty: nothing */
-  bool taken_back;           /* still to be told */
+  char instance[NAME_BYTES]; /* empty: no report */
+  bool withdrawn;            /* the withdrawal has not been sent */
   UT_hash_handle hh;
 };
 
-/* What another host reported last of a group.  */
-struct voice
+/* The latest report of another host about a group.  */
+struct received_report
 {
   char host[NAME_BYTES];
   char zone[NAME_BYTES];
   char group[NAME_BYTES];
   char instance[NAME_BYTES];
-  clk_ms heard_ms;
-  struct voice *prev;
-  struct voice *next;
+  clk_ms received_ms;
+  struct received_report *prev;
+  struct received_report *next;
 };
 
 struct suspicions
 {
   struct module base;
   struct hosts *hosts;
-  char holder[NAME_BYTES]; /* of the duty; empty: none */
+  char holder[NAME_BYTES]; /* of the promotion duty; empty: none */
   struct own_report *reports;
-  struct voice *voices;
-  struct ktimer tell;
+  struct received_report *received;
+  struct ktimer send_timer;
 };
 
 static void
-tell_host (struct suspicions *suspicions, const struct own_report *report,
-           const struct peer_address *to)
+send_report (struct suspicions *suspicions, const struct own_report *report,
+             const struct peer_address *to)
 {
   peer_body body = { .kind = PEER_KIND_SUSPICION };
   body.peer_body_u.suspicion
       = (peer_suspicion){ .database = (char *)report->group,
                           .primary = (char *)report->instance,
                           .suspected = report->instance[0] != '\0' };
-  /* Told again soon, whatever comes of it.  */
-  hosts_call (suspicions->hosts, to, &body, WITNESS_CALL_MS, NULL, NULL);
+  /* The reply is ignored: the report is repeated.  */
+  hosts_call (suspicions->hosts, to, &body, SUSPICIONS_CALL_TIMEOUT_MS, NULL,
+              NULL);
 }
 
 static void
-tell_hosts (struct suspicions *suspicions, const struct own_report *report)
+send_report_to_hosts (struct suspicions *suspicions,
+                      const struct own_report *report)
 {
   size_t count;
   const struct other_host *others = hosts_list (suspicions->hosts, &count);
   for (size_t i = 0; i < count; i++)
-    if (i < WITNESS_FANOUT
+    if (i < SUSPICIONS_FANOUT
         || strcmp (others[i].address.name, suspicions->holder) == 0)
-      tell_host (suspicions, report, &others[i].address);
+      send_report (suspicions, report, &others[i].address);
 }
 
 static void
-drop_stale (struct suspicions *suspicions)
+remove_stale (struct suspicions *suspicions)
 {
   clk_ms now_ms = kernel_now (suspicions->base.kernel);
-  struct voice *voice, *next;
-  DL_FOREACH_SAFE (suspicions->voices, voice, next)
+  struct received_report *entry, *next;
+  DL_FOREACH_SAFE (suspicions->received, entry, next)
   {
-    if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS)
+    if (now_ms - entry->received_ms <= SUSPICIONS_VALID_MS)
       continue;
-    DL_DELETE (suspicions->voices, voice);
-    free (voice);
+    DL_DELETE (suspicions->received, entry);
+    free (entry);
   }
 }
 
 static void
-on_tell (void *arg)
+on_send_timer (void *arg)
 {
   struct suspicions *suspicions = arg;
   struct kernel *kernel = suspicions->base.kernel;
   struct own_report *report;
   bool again = false;
-  drop_stale (suspicions);
+  remove_stale (suspicions);
   for (report = suspicions->reports; report != NULL; report = report->hh.next)
     {
-      if (report->instance[0] == '\0' && !report->taken_back)
+      if (report->instance[0] == '\0' && !report->withdrawn)
         continue;
       again |= report->instance[0] != '\0';
-      report->taken_back = false;
-      tell_hosts (suspicions, report);
+      report->withdrawn = false;
+      send_report_to_hosts (suspicions, report);
     }
   if (again)
-    kernel_timer_set (kernel, &suspicions->tell,
-                      kernel_now (kernel) + WITNESS_TELL_MS);
+    kernel_timer_set (kernel, &suspicions->send_timer,
+                      kernel_now (kernel) + SUSPICIONS_SEND_INTERVAL_MS);
 }
 
 void
-witness_report (struct suspicions *suspicions, const char *group,
-                const char *instance)
+suspicions_report (struct suspicions *suspicions, const char *group,
+                   const char *instance)
 {
   struct kernel *kernel = suspicions->base.kernel;
   struct own_report *report;
@@ -119,125 +121,126 @@
   if (strcmp (report->instance, wanted) == 0
       || !text_copy (report->instance, sizeof report->instance, wanted))
     return;
-  report->taken_back = instance == NULL;
-  kernel_timer_set (kernel, &suspicions->tell, kernel_now (kernel));
+  report->withdrawn = instance == NULL;
+  kernel_timer_set (kernel, &suspicions->send_timer, kernel_now (kernel));
 }
 
-static struct voice *
-find_voice (const struct suspicions *suspicions, const char *host,
-            const char *group)
+static struct received_report *
+find_received (const struct suspicions *suspicions, const char *host,
+               const char *group)
 {
-  struct voice *voice;
-  DL_FOREACH (suspicions->voices, voice)
+  struct received_report *entry;
+  DL_FOREACH (suspicions->received, entry)
   {
-    if (strcmp (voice->host, host) == 0 && strcmp (voice->group, group) == 0)
-      return voice;
+    if (strcmp (entry->host, host) == 0 && strcmp (entry->group, group) == 0)
+      return entry;
   }
   return NULL;
 }
 
 static void
-hear (struct suspicions *suspicions, const peer_message *message)
+record_report (struct suspicions *suspicions, const peer_message *message)
 {
   const peer_suspicion *report = &message->body.peer_body_u.suspicion;
-  drop_stale (suspicions);
-  struct voice *voice
-      = find_voice (suspicions, message->from.host, report->database);
-  if (voice == NULL)
+  remove_stale (suspicions);
+  struct received_report *entry
+      = find_received (suspicions, message->from.host, report->database);
+  if (entry == NULL)
     {
-      voice = mem_zalloc (sizeof *voice);
-      if (!text_copy (voice->host, NAME_BYTES, message->from.host)
-          || !text_copy (voice->zone, NAME_BYTES, message->from.domain)
-          || !text_copy (voice->group, NAME_BYTES, report->database))
+      entry = mem_zalloc (sizeof *entry);
+      if (!text_copy (entry->host, NAME_BYTES, message->from.host)
+          || !text_copy (entry->zone, NAME_BYTES, message->from.domain)
+          || !text_copy (entry->group, NAME_BYTES, report->database))
         {
-          free (voice);
+          free (entry);
           return;
         }
-      DL_APPEND (suspicions->voices, voice);
+      DL_APPEND (suspicions->received, entry);
     }
-  if (text_copy (voice->instance, NAME_BYTES, report->primary))
-    voice->heard_ms = kernel_now (suspicions->base.kernel);
+  if (text_copy (entry->instance, NAME_BYTES, report->primary))
+    entry->received_ms = kernel_now (suspicions->base.kernel);
 }
 
 static void
 on_suspicion (void *arg, uint64_t call, const peer_message *message)
 {
   struct suspicions *suspicions = arg;
-  hear (suspicions, message);
+  record_report (suspicions, message);
   hosts_reply (suspicions->hosts, call,
                &(peer_body){ .kind = PEER_KIND_NONE });
 }
 
 void
-witness_set_holder (struct suspicions *suspicions, const char *host)
+suspicions_set_holder (struct suspicions *suspicions, const char *host)
 {
   if (host == NULL || !text_copy (suspicions->holder, NAME_BYTES, host))
     suspicions->holder[0] = '\0';
 }
 
 void
-witness_each (struct suspicions *suspicions, const char *group,
-              const char *instance,
-              void (*fn) (void *arg, const char *host, const char *zone),
-              void *arg)
+suspicions_each (struct suspicions *suspicions, const char *group,
+                 const char *instance,
+                 void (*fn) (void *arg, const char *host, const char *zone),
+                 void *arg)
 {
   clk_ms now_ms = kernel_now (suspicions->base.kernel);
-  const struct voice *voice;
-  DL_FOREACH (suspicions->voices, voice)
+  const struct received_report *entry;
+  DL_FOREACH (suspicions->received, entry)
   {
-    if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS
-        && strcmp (voice->group, group) == 0
-        && strcmp (voice->instance, instance) == 0)
-      fn (arg, voice->host, voice->zone);
+    if (now_ms - entry->received_ms <= SUSPICIONS_VALID_MS
+        && strcmp (entry->group, group) == 0
+        && strcmp (entry->instance, instance) == 0)
+      fn (arg, entry->host, entry->zone);
   }
 }
 
 bool
-witness_hears (const struct suspicions *suspicions, const char *group,
-               const char *instance, const char *host)
+suspicions_has (const struct suspicions *suspicions, const char *group,
+                const char *instance, const char *host)
 {
-  const struct voice *voice = find_voice (suspicions, host, group);
-  return voice != NULL
-         && kernel_now (suspicions->base.kernel) - voice->heard_ms
-                <= WITNESS_FRESH_MS
-         && strcmp (voice->instance, instance) == 0;
+  const struct received_report *entry
+      = find_received (suspicions, host, group);
+  return entry != NULL
+         && kernel_now (suspicions->base.kernel) - entry->received_ms
+                <= SUSPICIONS_VALID_MS
+         && strcmp (entry->instance, instance) == 0;
 }
 
 bool
-witness_hears_any (const struct suspicions *suspicions)
+suspicions_any (const struct suspicions *suspicions)
 {
   clk_ms now_ms = kernel_now (suspicions->base.kernel);
-  const struct voice *voice;
-  DL_FOREACH (suspicions->voices, voice)
+  const struct received_report *entry;
+  DL_FOREACH (suspicions->received, entry)
   {
-    if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS)
+    if (now_ms - entry->received_ms <= SUSPICIONS_VALID_MS)
       return true;
   }
   return false;
 }
 
 static void
-witness_free (struct module *module)
+suspicions_free (struct module *module)
 {
   struct suspicions *suspicions = (struct suspicions *)module;
   struct own_report *report, *next_report;
-  kernel_timer_cancel (module->kernel, &suspicions->tell);
+  kernel_timer_cancel (module->kernel, &suspicions->send_timer);
   HASH_ITER (hh, suspicions->reports, report, next_report)
   {
     HASH_DEL (suspicions->reports, report);
     free (report);
   }
-  while (suspicions->voices != NULL)
+  while (suspicions->received != NULL)
     {
-      struct voice *voice = suspicions->voices;
-      DL_DELETE (suspicions->voices, voice);
-      free (voice);
+      struct received_report *entry = suspicions->received;
+      DL_DELETE (suspicions->received, entry);
+      free (entry);
     }
   free (suspicions);
 }
 
 static void
-witness_start (struct module *module)
+suspicions_start (struct module *module)
 {
   struct suspicions *suspicions = (struct suspicions *)module;
   suspicions->hosts = (struct hosts *)kernel_find (module->kernel, "hosts");
@@ -245,16 +248,17 @@
                 suspicions);
 }
 
-static const struct module_ops witness_ops
-    = { .start = witness_start, .free = witness_free };
+static const struct module_ops suspicions_ops
+    = { .start = suspicions_start, .free = suspicions_free };
 
 struct suspicions *
 suspicions_new (void)
 {
   struct suspicions *suspicions = mem_zalloc (sizeof *suspicions);
-  suspicions->base.ops = &witness_ops;
-  suspicions->base.name = "witness";
-  suspicions->tell = (struct ktimer){ .fire = on_tell, .arg = suspicions };
+  suspicions->base.ops = &suspicions_ops;
+  suspicions->base.name = "suspicions";
+  suspicions->send_timer
+      = (struct ktimer){ .fire = on_send_timer, .arg = suspicions };
   return suspicions;
 }
 
