--- a/src/proxy/catalog.c
+++ b/src/proxy/catalog.c
@@ -11,8 +11,8 @@
 {
   struct instance_entry entry;
   struct catalog *catalog;
-  bool listed;
-  struct ktimer lapse; /* armed while the entry is absent */
+  bool listed;           /* set since the start of the last listing */
+  struct ktimer absence; /* armed while the entry is absent */
   UT_hash_handle hh;
 };
 
@@ -113,26 +113,26 @@
 drop_instance (struct catalog_instance *instance)
 {
   struct catalog *catalog = instance->catalog;
-  kernel_timer_cancel (catalog->base.kernel, &instance->lapse);
+  kernel_timer_cancel (catalog->base.kernel, &instance->absence);
   HASH_DEL (catalog->instances, instance);
   free (instance);
 }
 
 static void
-instance_lapsed (void *arg)
+absence_expired (void *arg)
 {
   struct catalog_instance *instance = arg;
   struct catalog *catalog = instance->catalog;
   char id[NAME_BYTES];
   memcpy (id, instance->entry.id, sizeof id);
   log_event (kernel_log (catalog->base.kernel), LOG_NOTICE, "instance_gone",
-             LOG_S ("instance", id), LOG_I ("absent_ms", CATALOG_LAPSE_MS));
+             LOG_S ("instance", id), LOG_I ("absent_ms", CATALOG_ABSENCE_MS));
   drop_instance (instance);
   if (catalog->watch.gone != NULL)
     catalog->watch.gone (catalog->watch.arg, id);
 }
 
-/* Whether a decision depends on a difference of A and B.  */
+/* Returns whether A and B differ in a field that decisions depend on.  */
 static bool
 entry_differs (const struct instance_entry *a, const struct instance_entry *b)
 {
@@ -154,8 +154,8 @@
     {
       instance = mem_zalloc (sizeof *instance);
       instance->catalog = catalog;
-      instance->lapse.fire = instance_lapsed;
-      instance->lapse.arg = instance;
+      instance->absence.fire = absence_expired;
+      instance->absence.arg = instance;
       instance->entry = *entry;
       HASH_ADD_STR (catalog->instances, entry.id, instance);
     }
@@ -164,11 +164,11 @@
       if (entry->revision < instance->entry.revision)
         return;
       changed = entry_differs (&instance->entry, entry)
-                || instance->lapse.slot != 0;
+                || instance->absence.slot != 0;
       instance->entry = *entry;
     }
   instance->listed = true;
-  kernel_timer_cancel (kernel, &instance->lapse);
+  kernel_timer_cancel (kernel, &instance->absence);
   if (!changed)
     return;
   log_event (kernel_log (kernel), LOG_NOTICE, "instance",
@@ -182,15 +182,15 @@
 }
 
 static void
-note_absent (struct catalog_instance *instance)
+mark_absent (struct catalog_instance *instance)
 {
   struct kernel *kernel = instance->catalog->base.kernel;
-  if (instance->lapse.slot != 0)
+  if (instance->absence.slot != 0)
     return;
   log_event (kernel_log (kernel), LOG_NOTICE, "instance_absent",
              LOG_S ("instance", instance->entry.id));
-  kernel_timer_set (kernel, &instance->lapse,
-                    kernel_now (kernel) + CATALOG_LAPSE_MS);
+  kernel_timer_set (kernel, &instance->absence,
+                    kernel_now (kernel) + CATALOG_ABSENCE_MS);
 }
 
 void
@@ -200,7 +200,7 @@
   struct catalog_instance *instance;
   HASH_FIND_STR (catalog->instances, id, instance);
   if (instance != NULL && instance->entry.revision <= revision)
-    note_absent (instance);
+    mark_absent (instance);
 }
 
 void
@@ -218,7 +218,7 @@
   HASH_ITER (hh, catalog->instances, instance, next)
   {
     if (!instance->listed && instance->entry.revision <= revision)
-      note_absent (instance);
+      mark_absent (instance);
   }
 }
 
--- a/src/proxy/catalog.h
+++ b/src/proxy/catalog.h
@@ -1,11 +1,10 @@
-/* catalog - the routes, replica groups and instances that the platform
-   reports.
+/* catalog - routes, replica groups and instances as the platform reports them.
 
-   Routes come from the operators' configuration; its version never goes
-   back within a process.  Instances come from their own entries in the
-   platform's store.  An entry that vanished proves nothing for
-   CATALOG_LAPSE_MS: after an outage of the store entries of living instances
-   come back.
+   Routes come from the operators' configuration, whose version never decreases
+   within a process.  Each instance writes its own entry to the platform's
+   store.  An entry counts as removed only after it has been absent for
+   CATALOG_ABSENCE_MS, since entries of running instances return after an
+   outage of the store.
 
    Module name: "catalog".  */
 
@@ -18,17 +17,18 @@
 #include "core/types.h"
 #include "kernel/kernel.h"
 
-/* Entries that lapsed in an outage of the store return within two seconds
-   of its end.  */
-#define CATALOG_LAPSE_MS 2500
+/* Time of absence after which an entry counts as removed.  Entries that
+   expired during an outage of the store return within two seconds of its
+   end.  */
+#define CATALOG_ABSENCE_MS 2500
 
 #define VALUE_NAME_BYTES 128
 
 enum route_kind
 {
-  ROUTE_PRIMARY,
-  ROUTE_BOUNDED, /* up to max_staleness_ms old */
-  ROUTE_SESSION  /* likewise, and all commits of the same session */
+  ROUTE_PRIMARY, /* always uses the primary */
+  ROUTE_BOUNDED, /* reads data at most max_staleness_ms old */
+  ROUTE_SESSION  /* the same, but includes all commits of the session */
 };
 
 struct route
@@ -37,7 +37,7 @@
   char group[NAME_BYTES];
   enum route_kind kind;
   clk_ms timeout_ms; /* of one statement */
-  clk_ms target_ms;  /* of an operation */
+  clk_ms target_ms;  /* target duration of an operation */
   clk_ms max_staleness_ms;
   uint32_t priority; /* 0 is the highest */
 };
@@ -45,11 +45,11 @@
 struct group_settings
 {
   char name[NAME_BYTES];
-  uint32_t connections; /* limit of one instance */
+  uint32_t connections; /* connection limit of one instance */
   uint32_t sync_replicas;
 };
 
-/* A configuration in full.  */
+/* A complete configuration.  */
 struct catalog_config
 {
   uint64_t version;
@@ -61,9 +61,10 @@
   struct group_settings *groups;
 };
 
+/* Frees the contents of CONFIG and zeroes it.  */
 void catalog_config_clear (struct catalog_config *config);
 
-/* An instance's own entry.  */
+/* The entry that an instance writes to the platform's store.  */
 struct instance_entry
 {
   char id[NAME_BYTES];
@@ -73,19 +74,19 @@
   char zone[NAME_BYTES];
   uint32_t slots;
   bool draining;
-  bool is_primary; /* as it sees itself */
+  bool is_primary; /* the instance's own view of its role */
   uint64_t born_ms;
-  uint64_t revision; /* of the store */
+  uint64_t revision; /* of the store, at which the entry was written */
 };
 
 struct catalog;
 
-/* Receives changes.  */
+/* Callbacks for changes; each may be NULL.  */
 struct catalog_watch
 {
   void (*config) (void *arg);
   void (*instance) (void *arg, const struct instance_entry *entry);
-  /* The entry has been absent for CATALOG_LAPSE_MS.  */
+  /* The entry has been absent for CATALOG_ABSENCE_MS.  */
   void (*gone) (void *arg, const char *id);
   void *arg;
 };
@@ -93,28 +94,32 @@
 struct catalog *catalog_new (void);
 struct module *catalog_module (struct catalog *catalog);
 
-/* At most one watcher: the proxy.  */
+/* Sets the callbacks; a second call replaces those of the first.  */
 void catalog_watch (struct catalog *catalog,
                     const struct catalog_watch *watch);
 
-/* Takes CONFIG over, unless its version is not above the present one.
-   Returns whether it is in force.  CONFIG is emptied.  */
+/* Applies CONFIG if its version is higher than that of the current one.
+   Returns whether it was applied.  CONFIG is empty afterwards.  */
 bool catalog_set_config (struct catalog *catalog,
                          struct catalog_config *config);
 
-/* The configuration in force; version 0 if there is none.  */
+/* Returns the current configuration; its version is 0 if there is none.  */
 const struct catalog_config *catalog_config (const struct catalog *catalog);
 
+/* Returns the route of DATABASE, or NULL.  */
 const struct route *catalog_route (const struct catalog *catalog,
                                    const char *database);
 
+/* Adds or updates an instance; ignores an entry older than the known one.  */
 void catalog_set_instance (struct catalog *catalog,
                            const struct instance_entry *entry);
+/* Marks the entry of instance ID as absent, unless it is newer than
+   REVISION.  */
 void catalog_remove_instance (struct catalog *catalog, const char *id,
                               uint64_t revision);
 
-/* Begins and ends a full listing: entries not set in between count as
-   removed.  */
+/* Start and end a complete listing: entries that are not set in between, and
+   are not newer than REVISION, are marked as absent.  */
 void catalog_begin_list (struct catalog *catalog);
 void catalog_end_list (struct catalog *catalog, uint64_t revision);
 
--- a/src/proxy/group.c
+++ b/src/proxy/group.c
@@ -26,7 +26,7 @@
 }
 
 void
-group_wake (struct group *group)
+group_notify (struct group *group)
 {
   while (group->waiters != NULL)
     {
@@ -37,7 +37,7 @@
 }
 
 static void
-tick_soon (struct groups *groups)
+check_now (struct groups *groups)
 {
   kernel_timer_set (groups->base.kernel, &groups->tick,
                     kernel_now (groups->base.kernel));
@@ -62,7 +62,7 @@
                                   ? group_now (group) - group->leaderless_ms
                                   : 0));
   if (leader == NULL)
-    tick_soon (group->groups);
+    check_now (group->groups);
 }
 
 void
@@ -93,27 +93,28 @@
 {
   struct member_instance *instance = arg;
   (void)backend;
-  group_wake (instance->group);
+  group_notify (instance->group);
 }
 
 static const struct placed_group *
-placed_of (const struct group *group)
+placement_of (const struct group *group)
 {
   return placement_find (group->groups->placement, group->settings.name);
 }
 
-/* Connections of an instance that this host may open.  The holder of the
-   duty has to ask every instance.  */
+/* Returns the number of connections that this host may open to an instance
+   of GROUP.  The host that monitors the primaries needs one to each
+   instance.  */
 static uint32_t
-fair_share (const struct group *group, const struct placed_group *placed)
+connection_share (const struct group *group, const struct placed_group *placed)
 {
   const struct groups *groups = group->groups;
   size_t hosts = placed->count + 1;
   size_t limit = group->settings.connections;
   if (!placed->served_here)
-    return groups->watch ? 1 : 0;
-  if (!groups->counted)
-    return GROUP_SHARE_FIRST;
+    return groups->monitor ? 1 : 0;
+  if (!groups->hosts_known)
+    return GROUP_INITIAL_SHARE;
   size_t share = limit > BACKEND_RESERVED_CONNECTIONS
                      ? (limit - BACKEND_RESERVED_CONNECTIONS) / hosts
                      : 0;
@@ -144,16 +145,17 @@
     {
       log_event (kernel_log (options.kernel), LOG_WARNING, "instance_ignored",
                  LOG_S ("instance", entry->id),
-                 LOG_S ("why", "too many in its group"));
+                 LOG_S ("why", "its group has too many instances"));
       return;
     }
   struct member_instance *instance = mem_zalloc (sizeof *instance);
   instance->group = group;
   instance->behind_ms = CLK_LONG_AGO;
-  instance->gone_ms = CLK_NEVER;
+  instance->removed_ms = CLK_NEVER;
   options.arg = instance;
   instance->backend = backend_new (&options);
-  backend_set_share (instance->backend, fair_share (group, placed_of (group)));
+  backend_set_share (instance->backend,
+                     connection_share (group, placement_of (group)));
   group->instances[group->count++] = instance;
   backend_warm (instance->backend);
 }
@@ -167,7 +169,7 @@
   group->instances[i] = group->instances[--group->count];
   if (group->leader == instance->backend)
     group_set_leader (group, NULL, "gone");
-  group_forget_proof (group, instance->backend);
+  group_forget_log (group, instance->backend);
   backend_free (instance->backend);
   free (instance);
 }
@@ -191,8 +193,8 @@
 static void
 update_share (struct group *group)
 {
-  const struct placed_group *placed = placed_of (group);
-  uint32_t share = fair_share (group, placed);
+  const struct placed_group *placed = placement_of (group);
+  uint32_t share = connection_share (group, placed);
   group->served = placed->served_here;
   group->connected = share > 0;
   for (size_t i = 0; i < group->count; i++)
@@ -217,10 +219,10 @@
   update_shares (groups);
 }
 
-/* Removes instance ID from every group but EXCEPT.  */
+/* Removes the instance ID from all groups except EXCEPT.  */
 static void
-forget_instance (struct groups *groups, const char *id,
-                 const struct group *except)
+remove_elsewhere (struct groups *groups, const char *id,
+                  const struct group *except)
 {
   struct group *group, *next;
   HASH_ITER (hh, groups->table, group, next)
@@ -236,18 +238,19 @@
 {
   struct groups *groups = arg;
   struct group *group = ensure_group (groups, entry->group);
-  forget_instance (groups, entry->id, group);
+  remove_elsewhere (groups, entry->id, group);
   struct member_instance *instance = find_instance (group, entry->id);
   if (instance == NULL)
     {
-      /* Before it had instances it could have no primary.  */
+      /* A group without instances can't have a primary, so the time without
+         one starts with the first instance.  */
       if (group->count == 0 && group->leader == NULL)
         group->leaderless_ms = group_now (group);
       add_instance (group, entry);
     }
   else
     {
-      instance->gone_ms = CLK_NEVER;
+      instance->removed_ms = CLK_NEVER;
       backend_set_entry (instance->backend, entry);
     }
   instance = find_instance (group, entry->id);
@@ -257,11 +260,11 @@
     group_set_leader (group, instance->backend, "entry");
   else if (group->leader != instance->backend)
     backend_probe (instance->backend);
-  group_wake (group);
+  group_notify (group);
 }
 
-/* Treats an instance whose entry is gone as one that leaves; a primary is
-   handed over if it can still be reached.  */
+/* Marks an instance whose entry was removed as draining, so that a primary
+   is handed over if it can still be reached.  */
 static void
 on_gone (void *arg, const char *id)
 {
@@ -275,39 +278,41 @@
     struct instance_entry entry = *backend_entry (instance->backend);
     entry.draining = true;
     backend_set_entry (instance->backend, &entry);
-    instance->gone_ms = group_now (group);
+    instance->removed_ms = group_now (group);
   }
 }
 
 static void
-drop_gone (struct group *group)
+drop_removed (struct group *group)
 {
   for (size_t i = group->count; i-- > 0;)
     {
       struct member_instance *instance = group->instances[i];
-      if (instance->gone_ms != CLK_NEVER
+      if (instance->removed_ms != CLK_NEVER
           && (instance->backend != group->leader
-              || group_now (group) - instance->gone_ms >= GROUP_GONE_MS))
+              || group_now (group) - instance->removed_ms
+                     >= GROUP_REMOVED_PRIMARY_MS))
         remove_instance (group, instance);
     }
 }
 
 void
-group_doubt_leader (struct group *group)
+group_check_leader (struct group *group)
 {
   if (group->leader != NULL
       && group_now (group) - backend_heard_ms (group->leader)
-             >= GROUP_WATCH_MS)
+             >= GROUP_MONITOR_MS)
     backend_probe (group->leader);
 }
 
-/* Looks for the instance that leads, or after the one that does.  */
+/* Probes the primary if its newest sample is too old.  Without a reachable
+   primary, probes all instances to find one.  */
 static void
-tend_leader (struct group *group)
+probe_leader (struct group *group)
 {
   struct groups *groups = group->groups;
   clk_ms age_ms = group_now (group) - samples_newest_ms (&group->samples);
-  clk_ms limit_ms = groups->watch ? GROUP_WATCH_MS : GROUP_SAMPLE_MS;
+  clk_ms limit_ms = groups->monitor ? GROUP_MONITOR_MS : GROUP_SAMPLE_AGE_MS;
   bool in_use = group_now (group) - group->used_ms < GROUP_IN_USE_MS;
   if (group->leader == NULL || !backend_usable (group->leader))
     {
@@ -315,11 +320,11 @@
         backend_probe (group->instances[i]->backend);
       return;
     }
-  if ((in_use || groups->watch) && age_ms >= limit_ms)
+  if ((in_use || groups->monitor) && age_ms >= limit_ms)
     backend_probe (group->leader);
 }
 
-/* Asks the instances that were silent for too long.  */
+/* Probes the instances that have not answered for too long.  */
 static void
 check_instances (struct group *group)
 {
@@ -327,7 +332,8 @@
     {
       struct backend *backend = group->instances[i]->backend;
       backend_check (backend);
-      if (group_now (group) - backend_heard_ms (backend) >= GROUP_IDLE_MS)
+      if (group_now (group) - backend_heard_ms (backend)
+          >= GROUP_IDLE_PROBE_MS)
         backend_probe (backend);
     }
 }
@@ -338,20 +344,20 @@
   struct groups *groups = arg;
   struct kernel *kernel = groups->base.kernel;
   struct group *group, *next;
-  clk_ms span_ms = GROUP_TICK_MS;
+  clk_ms interval_ms = GROUP_TICK_MS;
   HASH_ITER (hh, groups->table, group, next)
   {
     update_share (group);
-    drop_gone (group);
+    drop_removed (group);
     if (!group->connected)
       continue;
     check_instances (group);
-    tend_leader (group);
+    probe_leader (group);
     if (group->leader == NULL && group->count > 0)
-      span_ms = GROUP_SEARCH_MS;
+      interval_ms = GROUP_SEARCH_TICK_MS;
   }
   groups_check_domains (groups);
-  kernel_timer_set (kernel, &groups->tick, kernel_now (kernel) + span_ms);
+  kernel_timer_set (kernel, &groups->tick, kernel_now (kernel) + interval_ms);
 }
 
 struct group *
@@ -374,7 +380,7 @@
 void
 groups_hosts_counted (struct groups *groups)
 {
-  groups->counted = true;
+  groups->hosts_known = true;
   update_shares (groups);
 }
 
@@ -386,9 +392,9 @@
 }
 
 void
-groups_set_watch (struct groups *groups, bool watch)
+groups_set_watch (struct groups *groups, bool monitor)
 {
-  groups->watch = watch;
+  groups->monitor = monitor;
   update_shares (groups);
 }
 
@@ -488,13 +494,13 @@
                                           .arg = groups });
   groups->tick.fire = on_tick;
   groups->tick.arg = groups;
-  tick_soon (groups);
+  check_now (groups);
 }
 
 static void
 group_free (struct group *group)
 {
-  group_forget_proof (group, group->asked);
+  group_forget_log (group, group->queried);
   while (group->count > 0)
     remove_instance (group, group->instances[0]);
   free (group);
--- a/src/proxy/group.h
+++ b/src/proxy/group.h
@@ -1,8 +1,14 @@
-/* group - the replica groups: which instance leads, which serves a read.
+/* group - replica groups: finds the primary and chooses instances for reads.
 
-   An instance is proven to lead at a moment by accepting a plain BEGIN or a
-   write; its position then covers all commits acknowledged before.  The
-   platform's entry of an instance is a hint only.
+   A group consists of one primary and its replicas.  An instance is confirmed
+   as the primary at the time at which it accepts a plain BEGIN or a write;
+   its log position then includes all commits acknowledged before.  The role
+   in the platform's entry of an instance is only a hint.
+
+   This module probes the instances, collects log positions of the primary
+   (see samples.h), which bound the staleness of reads, and estimates the cost
+   of a read on each instance.  It also detects whether this host is cut off
+   from the other failure domains.
 
    Module name: "groups".  */
 
@@ -15,51 +21,54 @@
 #include "proxy/catalog.h"
 #include "proxy/samples.h"
 
-/* Between looks at the instances; the shorter one while no primary is
-   known.  */
+/* Interval of the checks of all instances; the shorter one applies while a
+   group has no known primary.  */
 #define GROUP_TICK_MS 100
-#define GROUP_SEARCH_MS 40
+#define GROUP_SEARCH_TICK_MS 40
 
-/* The newest sample of a group in use is never older than this.  */
-#define GROUP_SAMPLE_MS 600
+/* Age of the newest sample at which the primary of a group in use is
+   probed.  */
+#define GROUP_SAMPLE_AGE_MS 600
 
-/* How long a primary may be silent until it is asked, by the host that
-   watches over it, and by all while one of them reports it.  */
-#define GROUP_WATCH_MS 200
+/* Time without an answer after which a primary is probed by the host that
+   monitors it, and by all hosts while one reports it as unreachable.  */
+#define GROUP_MONITOR_MS 200
 
-/* How long any instance may be silent until it is asked.  */
-#define GROUP_IDLE_MS 3000
+/* Time without an answer after which any instance is probed.  */
+#define GROUP_IDLE_PROBE_MS 3000
 
-/* A group without a read for this long is not sampled.  */
+/* A group without reads for this long is not sampled.  */
 #define GROUP_IN_USE_MS 5000
 
-/* An instance that just refused a position is not asked again for it.  */
+/* An instance that refused a position gets no read that requires it for this
+   long.  */
 #define GROUP_BEHIND_MS 40
 
-/* What a read on the primary costs above one on a replica: writes have only
-   the primary.  */
+/* Terms of the estimated cost of a read, in milliseconds.  */
+/* Surcharge for the primary, which alone can execute writes.  */
 #define GROUP_PRIMARY_COST_MS 12.0
 /* Round trip to another failure domain.  */
 #define GROUP_DOMAIN_COST_MS 5.0
-/* A refusal for a position that is not there yet.  */
+/* Refusal by an instance whose log does not contain the position yet.  */
 #define GROUP_BEHIND_COST_MS 5.0
-/* A new connection, or the wait for one.  */
+/* Opening a connection, or waiting for a free one.  */
 #define GROUP_CONNECT_COST_MS 15.0
-/* A share of statements refused for want of a slot.  */
+/* Multiplied by the share of statements refused for lack of a free slot.  */
 #define GROUP_REFUSAL_COST_MS 60.0
 
-/* While an instance is silent, others are asked that were not heard from for
-   this long: a cut shows by all of a failure domain.  */
-#define GROUP_DOUBT_MS 250
+/* While an instance is unreachable, instances that have not answered for this
+   long are probed, since a network partition affects whole failure
+   domains.  */
+#define GROUP_DOMAIN_PROBE_MS 250
 
-/* An instance whose entry is gone gets no work after this: the platform
-   counts work that reaches it later than its drain time.  */
-#define GROUP_GONE_MS 2000
+/* A primary whose entry was removed gets no work after this: the platform
+   counts work that an instance receives after its drain time.  */
+#define GROUP_REMOVED_PRIMARY_MS 2000
 
-/* Connections of an instance that one host counts on at the most.  */
+/* Largest number of connections to one instance that a host may open.  */
 #define GROUP_SHARE_LIMIT 8
-/* The same while the hosts are not counted yet.  */
-#define GROUP_SHARE_FIRST 2
+/* The same while the number of hosts is not known yet.  */
+#define GROUP_INITIAL_SHARE 2
 
 #define GROUP_INSTANCES 16
 #define GROUP_DOMAINS 32
@@ -67,12 +76,14 @@
 struct groups;
 struct group;
 
-/* Someone who waits for a change of a group: a sample, a primary.  */
+/* Subscriber to the next change of a group, such as a new sample or a new
+   primary.  Embedded by its users.  */
 struct group_waiter
 {
-  /* Calls nothing of this module: it arms a timer.  */
+  /* Called once per subscription.  Must not call this module: it sets a timer
+     instead.  */
   void (*wake) (struct group_waiter *waiter);
-  struct group *group; /* NULL while not waiting */
+  struct group *group; /* NULL while not subscribed */
   struct group_waiter *prev;
   struct group_waiter *next;
 };
@@ -87,84 +98,92 @@
 struct groups *groups_new (const struct groups_options *options);
 struct module *groups_module (struct groups *groups);
 
+/* Returns the group NAME, or NULL if it is not known.  */
 struct group *groups_find (struct groups *groups, const char *name);
 void groups_each (struct groups *groups,
                   void (*fn) (void *arg, struct group *group), void *arg);
 
-/* The hosts that share the connections of the instances are known.  */
+/* Called when the hosts that share the connections of the instances are
+   known.  Until then every host uses GROUP_INITIAL_SHARE.  */
 void groups_hosts_counted (struct groups *groups);
 
-/* Whether statements for the group NAME run on this host's connections; true
-   for one that is not known.  */
+/* Returns whether statements for the group NAME run on connections of this
+   host; true for an unknown group.  */
 bool groups_serves (struct groups *groups, const char *name);
 
-/* Whether every group that a route names has an instance that answers.  */
+/* Returns whether every group that a route names has an open connection to an
+   instance or is served by other hosts; false without a configuration.  */
 bool groups_ready (struct groups *groups);
 
-/* Whether this host is cut off: it reaches no instance in most of the other
-   failure domains, of which there are two or more.  Then hosts elsewhere
-   serve its callers better.  */
+/* Returns whether this host is cut off: there are two or more other failure
+   domains, and in most of them it reaches no instance.  Hosts in other
+   domains then serve its callers better.  */
 bool groups_cut_off (const struct groups *groups);
 
-/* Sets whether this host watches over the primaries.  */
-void groups_set_watch (struct groups *groups, bool watch);
+/* Sets whether this host monitors the primaries of all groups.  */
+void groups_set_watch (struct groups *groups, bool monitor);
 
-/* Whether this host has connections to the group's instances: to serve it,
-   or to watch over its primary.  */
+/* Returns whether this host has connections to the group's instances, either
+   to serve the group or to monitor its primary.  */
 bool group_connected (const struct group *group);
 
 const char *group_name (const struct group *group);
 const struct group_settings *group_settings (const struct group *group);
 const struct samples *group_samples (const struct group *group);
 
-/* The instance believed to lead, or NULL.  */
+/* Returns the instance believed to be the primary, or NULL.  */
 struct backend *group_leader (struct group *group);
-/* Since when no instance was known to lead; CLK_NEVER if one is.  */
+/* Returns the time since which no primary is known; CLK_NEVER if one is.  */
 clk_ms group_leaderless_since_ms (const struct group *group);
 
+/* Lists the instances; returns their number.  */
 size_t group_instances (struct group *group,
                         struct backend *out[GROUP_INSTANCES]);
 
-/* Who waits for slots: of the primary, or of any instance.  */
+/* Returns the admission queue for slots of the primary, or for slots of any
+   instance.  */
 struct admission *group_admission (struct group *group, bool primary);
 
+/* Subscribes WAITER to the next change; does nothing if it is subscribed.  */
 void group_await (struct group *group, struct group_waiter *waiter);
 void group_cancel (struct group_waiter *waiter);
 
-/* Asks the primary for a new sample.  */
+/* Probes the primary to get a new sample, and marks the group as in use.  */
 void group_sample (struct group *group);
 
-/* Notes that BACKEND led when asked at ASKED_MS, with its position.  */
+/* Records that BACKEND was the primary when it answered, with POSITION, a
+   statement sent at ASKED_MS.  */
 void group_proven (struct group *group, struct backend *backend,
                    struct position position, clk_ms asked_ms);
-/* Whether a read on BACKEND, which leads, sees all commits that were
-   acknowledged before, as its log has reached POSITION.  */
+/* Returns whether a read on BACKEND, the primary, at POSITION of its log sees
+   all commits acknowledged before.  */
 bool group_covers (const struct group *group, const struct backend *backend,
                    struct position position);
 
-/* Notes that BACKEND refused as it does not lead.  */
+/* Records that BACKEND refused a statement because it is not the primary.  */
 void group_refuted (struct group *group, struct backend *backend);
-/* Another host reports that it can't reach the primary: asks it soon.  */
-void group_doubt_leader (struct group *group);
+/* Probes the primary, unless it answered recently.  Called when another host
+   reports that it can't reach it.  */
+void group_check_leader (struct group *group);
 
-/* Notes that BACKEND's log lacked a position.  */
+/* Records that BACKEND's log did not contain a required position.  */
 void group_behind (struct group *group, struct backend *backend);
 
-/* An instance as a choice for a read.  */
+/* An instance considered for a read.  */
 struct group_choice
 {
   struct backend *backend;
-  double cost_ms;      /* expected time, with what it costs others */
-  const char *why_not; /* it can't serve the read; NULL if it can */
+  double cost_ms;      /* expected time, with the cost to other statements */
+  const char *why_not; /* why it can't serve the read; NULL if it can */
 };
 
-/* Lists the instances as choices for a read that must see FLOOR; returns
-   their number.  */
+/* Lists the instances with their costs for a read that must see the position
+   FLOOR; returns their number.  */
 size_t group_choices (const struct group *group, struct position floor,
                       struct group_choice out[GROUP_INSTANCES]);
 
-/* Chooses the instance for a read that must see FLOOR, but none of TRIED;
-   NULL if there is none.  */
+/* Returns the instance for a read that must see the position FLOOR, except
+   those in TRIED; NULL if none can serve it.  */
 struct backend *group_pick (struct group *group, struct position floor,
                             const char tried[][NAME_BYTES],
                             size_t tried_count);
--- a/src/proxy/group_domains.c
+++ b/src/proxy/group_domains.c
@@ -1,37 +1,38 @@
-/* Which failure domains this host reaches.  */
+/* Detection of failure domains that this host can't reach.  */
 
 #include "proxy/group_impl.h"
 
 #include <string.h>
 
-/* Another failure domain, and its instances.  */
-struct other_domain
+/* A failure domain other than this host's.  */
+struct remote_domain
 {
   const char *zone;
-  bool reached;
+  bool reached; /* at least one of its instances is reachable */
 };
 
-static struct other_domain *
-find_domain (struct other_domain *domains, size_t *count, const char *zone)
+static struct remote_domain *
+find_domain (struct remote_domain *domains, size_t *count, const char *zone)
 {
   for (size_t i = 0; i < *count; i++)
     if (strcmp (domains[i].zone, zone) == 0)
       return &domains[i];
   if (*count == GROUP_DOMAINS)
     return NULL;
-  domains[*count] = (struct other_domain){ .zone = zone };
+  domains[*count] = (struct remote_domain){ .zone = zone };
   return &domains[(*count)++];
 }
 
-/* Finds out whether this host is cut off.  While an instance elsewhere can't
-   be reached, the others are asked that were silent of late.  */
+/* Updates whether this host is cut off.  While an instance in another domain
+   is unreachable, probes those that have not answered recently, to detect a
+   network partition soon.  */
 void
 groups_check_domains (struct groups *groups)
 {
-  struct other_domain domains[GROUP_DOMAINS];
-  struct backend *doubted[GROUP_INSTANCES];
+  struct remote_domain domains[GROUP_DOMAINS];
+  struct backend *stale[GROUP_INSTANCES];
   struct group *group, *next;
-  size_t count = 0, lost = 0, unusable = 0, doubtful = 0;
+  size_t count = 0, lost = 0, unusable = 0, stale_count = 0;
   HASH_ITER (hh, groups->table, group, next)
   for (size_t i = 0; group->connected && i < group->count; i++)
     {
@@ -39,16 +40,17 @@
       const char *zone = backend_entry (backend)->zone;
       if (strcmp (zone, groups->zone) == 0)
         continue;
-      struct other_domain *domain = find_domain (domains, &count, zone);
+      struct remote_domain *domain = find_domain (domains, &count, zone);
       if (domain != NULL)
         domain->reached |= backend_usable (backend);
       unusable += !backend_usable (backend);
-      if (backend_usable (backend) && doubtful < GROUP_INSTANCES
-          && group_now (group) - backend_heard_ms (backend) >= GROUP_DOUBT_MS)
-        doubted[doubtful++] = backend;
+      if (backend_usable (backend) && stale_count < GROUP_INSTANCES
+          && group_now (group) - backend_heard_ms (backend)
+                 >= GROUP_DOMAIN_PROBE_MS)
+        stale[stale_count++] = backend;
     }
-  for (size_t i = 0; unusable > 0 && i < doubtful; i++)
-    backend_probe (doubted[i]);
+  for (size_t i = 0; unusable > 0 && i < stale_count; i++)
+    backend_probe (stale[i]);
   for (size_t i = 0; i < count; i++)
     lost += !domains[i].reached;
   bool cut_off = count >= 2 && 2 * lost > count;
--- a/src/proxy/group_impl.h
+++ b/src/proxy/group_impl.h
@@ -1,4 +1,4 @@
-/* group_impl - what the files of the groups module share.  */
+/* group_impl - declarations shared by the files of the groups module.  */
 
 #ifndef SAVORYWAY_PROXY_GROUP_IMPL_H
 #define SAVORYWAY_PROXY_GROUP_IMPL_H
@@ -13,8 +13,8 @@
 {
   struct group *group;
   struct backend *backend;
-  clk_ms behind_ms; /* when it last refused a position */
-  clk_ms gone_ms;   /* when its entry was found gone; CLK_NEVER */
+  clk_ms behind_ms;  /* time of its last refusal of a position */
+  clk_ms removed_ms; /* time of the removal of its entry, or CLK_NEVER */
 };
 
 struct group
@@ -25,15 +25,16 @@
   size_t count;
   struct member_instance *instances[GROUP_INSTANCES];
   struct backend *leader;
-  /* What is known of the log of the instance that leads.  */
-  struct backend *covering; /* whose log covers all from COVERS on */
-  struct position covers;
-  struct backend *asked; /* for its state */
-  struct inquiry *inquiry;
-  clk_ms leaderless_ms;
-  clk_ms used_ms;
-  bool served;    /* callers' statements run on this host's connections */
-  bool connected; /* this host has connections */
+  /* The log of CAUGHT_UP, the primary, contains all acknowledged commits from
+     the position CAUGHT_UP_AT on.  */
+  struct backend *caught_up;
+  struct position caught_up_at;
+  struct backend *queried; /* the instance that QUERY was sent to */
+  struct status_query *query;
+  clk_ms leaderless_ms; /* time at which the last primary was lost */
+  clk_ms used_ms;       /* time of the last read */
+  bool served;          /* statements run on connections of this host */
+  bool connected;       /* this host has connections */
   struct group_waiter *waiters;
   struct admission for_primary;
   struct admission for_any;
@@ -48,8 +49,8 @@
   struct catalog *catalog;
   struct placement *placement;
   struct group *table;
-  bool counted; /* the other hosts are known */
-  bool watch;
+  bool hosts_known; /* the number of hosts is known */
+  bool monitor;     /* this host monitors all primaries */
   bool cut_off;
   struct ktimer tick;
 };
@@ -60,15 +61,16 @@
   return kernel_now (group->groups->base.kernel);
 }
 
+/* Sets the primary, or NULL; WHY goes to the log.  */
 void group_set_leader (struct group *group, struct backend *leader,
                        const char *why);
-/* Wakes who waits for a change.  */
-void group_wake (struct group *group);
+/* Notifies all subscribers of a change.  */
+void group_notify (struct group *group);
 
-/* group_proof.c: forgets what is known of BACKEND.  */
-void group_forget_proof (struct group *group, const struct backend *backend);
+/* group_proof.c: discards what is known about the log of BACKEND.  */
+void group_forget_log (struct group *group, const struct backend *backend);
 
-/* group_domains.c: finds out whether this host is cut off.  */
+/* group_domains.c: updates whether this host is cut off.  */
 void groups_check_domains (struct groups *groups);
 
 #endif
--- a/src/proxy/group_proof.c
+++ b/src/proxy/group_proof.c
@@ -1,8 +1,10 @@
-/* What proves that an instance leads, and that its log has all commits.
+/* Confirmation of the primary, and of the position from which on its log
+   contains all acknowledged commits.
 
-   A promoted instance leads before it has applied all that it had received:
-   that it accepts a plain BEGIN proves that no other leads, but a read may
-   still miss acknowledged commits.  Its log covers them once it has reached
+   A promoted instance accepts statements before it has applied all log
+   records that it had received as a replica.  Accepting a plain BEGIN
+   confirms that no other instance is the primary, but a read may still miss
+   acknowledged commits.  The instance has caught up once its log has reached
    the position that it had received; from then on each position that it
    reports is a sample.  */
 
@@ -10,79 +12,80 @@
 
 #include "kernel/mutant.h"
 
-/* Until an instance that did not tell its state is asked again.  */
-#define ASK_LIMIT_MS 60
+/* Timeout of a query for the state of a new primary.  */
+#define QUERY_TIMEOUT_MS 60
 
-/* A term that follows one seen so recently is the next one: its positions
-   were all applied by the instance that leads in it.  */
+/* A newer term seen within this time of the newest sample is the term that
+   follows that of the sample: all positions in it were applied by its
+   primary.  */
 #define NEXT_TERM_MS 3000
 
 void
-group_forget_proof (struct group *group, const struct backend *backend)
+group_forget_log (struct group *group, const struct backend *backend)
 {
-  if (group->covering == backend)
-    group->covering = NULL;
-  if (group->asked != backend || group->inquiry == NULL)
+  if (group->caught_up == backend)
+    group->caught_up = NULL;
+  if (group->queried != backend || group->query == NULL)
     return;
-  inquiry_free (group->inquiry);
-  group->inquiry = NULL;
-  group->asked = NULL;
+  status_query_free (group->query);
+  group->query = NULL;
+  group->queried = NULL;
 }
 
 static void
-set_covering (struct group *group, struct backend *backend,
-              struct position covers)
+set_caught_up (struct group *group, struct backend *backend,
+               struct position from)
 {
-  group->covering = backend;
-  group->covers = covers;
+  group->caught_up = backend;
+  group->caught_up_at = from;
   log_event (kernel_log (group->groups->base.kernel), LOG_INFO, "primary_log",
              LOG_S ("group", group->settings.name),
              LOG_S ("instance", backend_entry (backend)->id),
-             LOG_U ("from_term", covers.term), LOG_U ("from", covers.lsn));
+             LOG_U ("from_term", from.term), LOG_U ("from", from.lsn));
 }
 
 static void
-on_state (void *arg, const struct inquiry_row *rows, size_t count)
+on_state (void *arg, const struct status_row *rows, size_t count)
 {
   struct group *group = arg;
-  struct backend *backend = group->asked;
-  group->inquiry = NULL;
-  group->asked = NULL;
+  struct backend *backend = group->queried;
+  group->query = NULL;
+  group->queried = NULL;
   if (count == 1 && rows[0].answered && rows[0].status.is_primary
       && group->leader == backend)
-    set_covering (group, backend, rows[0].status.received);
-  group_wake (group);
+    set_caught_up (group, backend, rows[0].status.received);
+  group_notify (group);
 }
 
-/* Asks BACKEND which position it had received.  */
+/* Queries the position up to which BACKEND has received the log.  */
 static void
-ask_state (struct group *group, struct backend *backend)
+query_state (struct group *group, struct backend *backend)
 {
   struct groups *groups = group->groups;
-  if (group->inquiry != NULL)
+  if (group->query != NULL)
     return;
-  group->asked = backend;
-  group->inquiry
-      = inquiry_new (groups->base.kernel, groups->options.parse_status, 1,
-                     &backend, STMT_STATUS, 0, ASK_LIMIT_MS, on_state, group);
+  group->queried = backend;
+  group->query = status_query_new (
+      groups->base.kernel, groups->options.parse_status, 1, &backend,
+      STMT_STATUS, 0, QUERY_TIMEOUT_MS, on_state, group);
 }
 
-/* Finds out from which position on the log of BACKEND, which leads, covers
-   all commits.  */
+/* Determines the position from which on the log of BACKEND, the primary,
+   contains all acknowledged commits.  */
 static void
-find_cover (struct group *group, struct backend *backend,
-            struct position position)
+find_caught_up (struct group *group, struct backend *backend,
+                struct position position)
 {
   struct position newest = samples_newest (&group->samples);
   bool next_term = newest.term > 0 && position.term > newest.term
                    && group_now (group) - samples_newest_ms (&group->samples)
                           < NEXT_TERM_MS;
-  if (group->covering == backend)
+  if (group->caught_up == backend)
     return;
   if (next_term)
-    set_covering (group, backend, position);
+    set_caught_up (group, backend, position);
   else
-    ask_state (group, backend);
+    query_state (group, backend);
 }
 
 bool
@@ -91,29 +94,30 @@
 {
   if (MUTANT (trust_new_primary))
     return true;
-  return group->covering == backend
-         && position_compare (position, group->covers) >= 0;
+  return group->caught_up == backend
+         && position_compare (position, group->caught_up_at) >= 0;
 }
 
 void
 group_proven (struct group *group, struct backend *backend,
               struct position position, clk_ms asked_ms)
 {
-  /* A late proof of an earlier term does not replace a newer one.  */
+  /* A delayed answer from an earlier term must not replace the primary of a
+     newer one.  */
   if (position.term < samples_newest (&group->samples).term)
     return;
   group_set_leader (group, backend, "proven");
-  find_cover (group, backend, position);
+  find_caught_up (group, backend, position);
   if (!group_covers (group, backend, position))
     return;
   samples_note (&group->samples, position, asked_ms);
-  group_wake (group);
+  group_notify (group);
 }
 
 void
 group_refuted (struct group *group, struct backend *backend)
 {
-  group_forget_proof (group, backend);
+  group_forget_log (group, backend);
   if (group->leader == backend)
     group_set_leader (group, NULL, "refused");
 }
--- a/src/proxy/group_read.c
+++ b/src/proxy/group_read.c
@@ -1,4 +1,4 @@
-/* Chooses the instance of a read.  */
+/* Choice of the instance for a read.  */
 
 #include "proxy/group_impl.h"
 
@@ -14,7 +14,8 @@
   return false;
 }
 
-/* Expected time of a read on INSTANCE, with what it costs others.  */
+/* Returns the expected time of a read on INSTANCE in milliseconds, with the
+   cost to other statements.  */
 static double
 read_cost (const struct group *group, const struct member_instance *instance,
            struct position floor)
@@ -36,16 +37,17 @@
   return cost;
 }
 
-/* Whether INSTANCE is known to lack FLOOR.  */
+/* Returns whether the log of INSTANCE is known not to contain FLOOR.  */
 static bool
-lacks (const struct group *group, const struct member_instance *instance,
-       struct position floor)
+is_behind (const struct group *group, const struct member_instance *instance,
+           struct position floor)
 {
   return group_now (group) - instance->behind_ms < GROUP_BEHIND_MS
          && position_compare (backend_position (instance->backend), floor) < 0;
 }
 
-/* Why INSTANCE serves no read that must see FLOOR; NULL if it can.  */
+/* Returns why INSTANCE can't serve a read that must see FLOOR; NULL if it
+   can.  */
 static const char *
 why_not (const struct group *group, const struct member_instance *instance,
          struct position floor)
@@ -53,7 +55,7 @@
   const struct backend *backend = instance->backend;
   if (!backend_usable (backend))
     return "unreachable";
-  if (lacks (group, instance, floor))
+  if (is_behind (group, instance, floor))
     return "behind";
   if (backend_entry (backend)->draining && backend != group->leader)
     return "leaving";
@@ -92,7 +94,8 @@
       if (choice->why_not != NULL
           || was_tried (choice->backend, tried, tried_count))
         continue;
-      /* Hosts that know the same must not all choose the same.  */
+      /* Jitter keeps hosts with the same data from all choosing the same
+         instance.  */
       double cost = choice->cost_ms * (0.9 + 0.2 * rng_unit (rng));
       if (best == NULL || cost < best_cost)
         {
--- a/src/proxy/hosts.c
+++ b/src/proxy/hosts.c
@@ -95,7 +95,7 @@
               void *arg)
 {
   if (hosts->handler_count == HOSTS_HANDLERS)
-    abort (); /* the number of modules is fixed */
+    abort (); /* programming error: all handlers are known at build time */
   hosts->handlers[hosts->handler_count++]
       = (struct handler){ kind, handler, arg };
 }
@@ -111,7 +111,7 @@
 ignore_reply (void *arg, enum peer_status status, const peer_message *reply)
 {
   (void)arg;
-  (void)status; /* the sender did not ask for the outcome */
+  (void)status; /* the caller is not interested in the result */
   (void)reply;
 }
 
--- a/src/proxy/hosts.h
+++ b/src/proxy/hosts.h
@@ -1,6 +1,7 @@
-/* hosts - the other hosts of the system, and messages to and from them.
+/* hosts - list of the other hosts, and messages to and from them.
 
-   The roster sets the list; each module handles messages of its own kinds.
+   The roster sets the list.  Each module registers a handler for the kinds of
+   messages that it receives.
 
    Module name: "hosts".  */
 
@@ -10,13 +11,14 @@
 #include "kernel/kernel.h"
 #include "port/peer_port.h"
 
+/* Largest number of registered handlers.  */
 #define HOSTS_HANDLERS 8
 
 struct other_host
 {
   struct peer_address address;
   char zone[NAME_BYTES];
-  uint32_t capacity; /* of its link; 0: not told */
+  uint32_t capacity; /* of its network link, in Mbit/s; 0 if not known */
 };
 
 struct hosts_options
@@ -33,34 +35,35 @@
 const char *hosts_own_name (const struct hosts *hosts);
 const char *hosts_own_zone (const struct hosts *hosts);
 
-/* Messages go through PORT from now on.  */
+/* Sets the port that sends and receives messages.  */
 void hosts_set_port (struct hosts *hosts, struct peer_port *port);
 
-/* Whether messages can be sent.  */
+/* Returns whether a port is set, so that messages can be sent.  */
 bool hosts_ready (const struct hosts *hosts);
 
-/* Sets the other hosts; they are copied.  */
+/* Replaces the list of other hosts by a copy of OTHERS.  */
 void hosts_set (struct hosts *hosts, const struct other_host *others,
                 size_t count);
 
-/* The other hosts.  The array is valid until the next hosts_set.  */
+/* Returns the other hosts.  The array is valid until the next hosts_set.  */
 const struct other_host *hosts_list (const struct hosts *hosts, size_t *count);
 
-/* Rises with each hosts_set.  */
+/* Returns the version of the list, which increases with each hosts_set.  */
 uint64_t hosts_version (const struct hosts *hosts);
 
-/* Messages of KIND go to HANDLER, which answers them with hosts_reply.  */
+/* Registers HANDLER for messages of KIND; it answers with hosts_reply.  */
 void hosts_handle (struct hosts *hosts, peer_kind kind, peer_handler handler,
                    void *arg);
 
-/* Sends BODY (copied) to TO; returns an id for hosts_cancel, or 0, and calls
-   nothing, while there is no port.  DONE may be NULL.  */
+/* Sends a copy of BODY to TO.  Returns an id for hosts_cancel.  Without a port
+   returns 0 and never calls DONE.  DONE may be NULL.  */
 uint64_t hosts_call (struct hosts *hosts, const struct peer_address *to,
                      const peer_body *body, clk_ms timeout_ms, peer_done done,
                      void *arg);
+/* Cancels a call; its DONE is not called.  */
 void hosts_cancel (struct hosts *hosts, uint64_t id);
 
-/* Answers CALL with BODY.  */
+/* Sends BODY as the reply to CALL.  */
 void hosts_reply (struct hosts *hosts, uint64_t call, const peer_body *body);
 
 #endif
--- a/src/proxy/inquiry.c
+++ b/src/proxy/inquiry.c
@@ -5,65 +5,65 @@
 
 #include "kernel/mem.h"
 
-struct inquiry_user
+/* The statement to one instance.  */
+struct query_user
 {
   struct conn_user user; /* first */
-  struct inquiry *inquiry;
+  struct status_query *query;
   struct backend_conn *conn;
   bool ended;
   size_t row;
 };
 
-struct inquiry
+struct status_query
 {
   struct kernel *kernel;
   status_parse parse;
   enum stmt_kind kind;
   uint64_t term;
-  inquiry_done done;
+  status_query_done done;
   void *arg;
-  struct ktimer limit;
+  struct ktimer timeout;
   size_t count;
   size_t ended;
-  struct inquiry_user users[GROUP_INSTANCES];
-  struct inquiry_row rows[GROUP_INSTANCES];
+  struct query_user users[GROUP_INSTANCES];
+  struct status_row rows[GROUP_INSTANCES];
 };
 
 static void
-end_user (struct inquiry_user *user)
+end_user (struct query_user *user)
 {
-  struct inquiry *inquiry = user->inquiry;
+  struct status_query *query = user->query;
   if (user->ended)
     return;
   user->ended = true;
-  inquiry->ended++;
-  if (inquiry->ended == inquiry->count)
-    kernel_timer_set (inquiry->kernel, &inquiry->limit,
-                      kernel_now (inquiry->kernel));
+  query->ended++;
+  if (query->ended == query->count)
+    kernel_timer_set (query->kernel, &query->timeout,
+                      kernel_now (query->kernel));
 }
 
 static void
 on_granted (struct conn_user *base, struct backend_conn *conn)
 {
-  struct inquiry_user *user = (struct inquiry_user *)base;
-  struct inquiry *inquiry = user->inquiry;
+  struct query_user *user = (struct query_user *)base;
+  struct status_query *query = user->query;
   user->conn = conn;
-  conn_send (
-      conn, STEP_MAIN,
-      &(struct statement){ .kind = inquiry->kind, .term = inquiry->term },
-      NULL);
+  conn_send (conn, STEP_MAIN,
+             &(struct statement){ .kind = query->kind, .term = query->term },
+             NULL);
 }
 
 static void
 on_answered (struct conn_user *base, struct backend_conn *conn,
              enum conn_step step, const struct answer *answer)
 {
-  struct inquiry_user *user = (struct inquiry_user *)base;
-  struct inquiry_row *row = &user->inquiry->rows[user->row];
+  struct query_user *user = (struct query_user *)base;
+  struct status_row *row = &user->query->rows[user->row];
   (void)step;
-  row->answered = user->inquiry->parse (&row->status, answer);
+  row->answered = user->query->parse (&row->status, answer);
   if (!row->answered && answer->code == CODE_BUSY && answer->has_position
-      && user->inquiry->kind == STMT_STATUS)
+      && user->query->kind == STMT_STATUS)
     {
       row->status = (struct instance_status){ .term = answer->position.term,
                                               .received = answer->position };
@@ -77,7 +77,7 @@
 static void
 on_lost (struct conn_user *base)
 {
-  struct inquiry_user *user = (struct inquiry_user *)base;
+  struct query_user *user = (struct query_user *)base;
   user->conn = NULL;
   end_user (user);
 }
@@ -86,12 +86,12 @@
     = { .granted = on_granted, .answered = on_answered, .lost = on_lost };
 
 static void
-release (struct inquiry *inquiry)
+release (struct status_query *query)
 {
-  kernel_timer_cancel (inquiry->kernel, &inquiry->limit);
-  for (size_t i = 0; i < inquiry->count; i++)
+  kernel_timer_cancel (query->kernel, &query->timeout);
+  for (size_t i = 0; i < query->count; i++)
     {
-      struct inquiry_user *user = &inquiry->users[i];
+      struct query_user *user = &query->users[i];
       backend_cancel (&user->user);
       if (user->conn != NULL)
         conn_give (user->conn);
@@ -100,49 +100,49 @@
 }
 
 static void
-on_limit (void *arg)
+on_timeout (void *arg)
 {
-  struct inquiry *inquiry = arg;
-  release (inquiry);
-  inquiry->done (inquiry->arg, inquiry->rows, inquiry->count);
-  free (inquiry);
+  struct status_query *query = arg;
+  release (query);
+  query->done (query->arg, query->rows, query->count);
+  free (query);
 }
 
-struct inquiry *
-inquiry_new (struct kernel *kernel, status_parse parse, size_t count,
-             struct backend *const *backends, enum stmt_kind kind,
-             uint64_t term, clk_ms limit_ms, inquiry_done done, void *arg)
+struct status_query *
+status_query_new (struct kernel *kernel, status_parse parse, size_t count,
+                  struct backend *const *backends, enum stmt_kind kind,
+                  uint64_t term, clk_ms timeout_ms, status_query_done done,
+                  void *arg)
 {
-  struct inquiry *inquiry = mem_zalloc (sizeof *inquiry);
-  inquiry->kernel = kernel;
-  inquiry->parse = parse;
-  inquiry->kind = kind;
-  inquiry->term = term;
-  inquiry->done = done;
-  inquiry->arg = arg;
-  inquiry->count = count;
-  inquiry->limit = (struct ktimer){ .fire = on_limit, .arg = inquiry };
-  kernel_timer_set (kernel, &inquiry->limit, kernel_now (kernel) + limit_ms);
+  struct status_query *query = mem_zalloc (sizeof *query);
+  query->kernel = kernel;
+  query->parse = parse;
+  query->kind = kind;
+  query->term = term;
+  query->done = done;
+  query->arg = arg;
+  query->count = count;
+  query->timeout = (struct ktimer){ .fire = on_timeout, .arg = query };
+  kernel_timer_set (kernel, &query->timeout, kernel_now (kernel) + timeout_ms);
   for (size_t i = 0; i < count; i++)
     {
-      struct inquiry_user *user = &inquiry->users[i];
-      memcpy (inquiry->rows[i].id, backend_entry (backends[i])->id,
-              NAME_BYTES);
+      struct query_user *user = &query->users[i];
+      memcpy (query->rows[i].id, backend_entry (backends[i])->id, NAME_BYTES);
       user->user.ops = &user_ops;
-      user->inquiry = inquiry;
+      user->query = query;
       user->row = i;
       struct backend_conn *conn = backend_take (backends[i], &user->user);
       if (conn != NULL)
         on_granted (&user->user, conn);
     }
-  return inquiry;
+  return query;
 }
 
 void
-inquiry_free (struct inquiry *inquiry)
+status_query_free (struct status_query *query)
 {
-  if (inquiry == NULL)
+  if (query == NULL)
     return;
-  release (inquiry);
-  free (inquiry);
+  release (query);
+  free (query);
 }
--- a/src/proxy/inquiry.h
+++ b/src/proxy/inquiry.h
@@ -1,33 +1,38 @@
-/* inquiry - asks several instances for their state at once.
+/* status_query - queries the state of several instances in parallel.
 
-   Sends STMT_STATUS, or an order that returns the same row, and ends when
-   all have answered or the time is up.  An instance without a free slot
-   answers with its position only.  */
+   Sends STMT_STATUS, or an order that returns the same row such as
+   STMT_STEPDOWN, to each instance.  Ends when all have answered or after the
+   timeout.  The answer to STMT_STATUS of an instance without a free slot holds
+   only its position.  */
 
-#ifndef SAVORYWAY_PROXY_INQUIRY_H
-#define SAVORYWAY_PROXY_INQUIRY_H
+#ifndef SAVORYWAY_PROXY_STATUS_QUERY_H
+#define SAVORYWAY_PROXY_STATUS_QUERY_H
 
 #include "proxy/group.h"
 
-struct inquiry_row
+/* The answer of one instance.  */
+struct status_row
 {
   char id[NAME_BYTES];
   bool answered;
-  struct instance_status status;
+  struct instance_status status; /* valid if ANSWERED */
 };
 
-struct inquiry;
+struct status_query;
 
-typedef void (*inquiry_done) (void *arg, const struct inquiry_row *rows,
-                              size_t count);
+typedef void (*status_query_done) (void *arg, const struct status_row *rows,
+                                   size_t count);
 
-/* Asks COUNT instances; DONE follows once, never from within the call.  */
-struct inquiry *inquiry_new (struct kernel *kernel, status_parse parse,
-                             size_t count, struct backend *const *backends,
-                             enum stmt_kind kind, uint64_t term,
-                             clk_ms limit_ms, inquiry_done done, void *arg);
+/* Starts a query of COUNT instances.  Calls DONE once, never from within
+   this call, and then frees the query.  TERM is sent with the statement.  */
+struct status_query *status_query_new (struct kernel *kernel,
+                                       status_parse parse, size_t count,
+                                       struct backend *const *backends,
+                                       enum stmt_kind kind, uint64_t term,
+                                       clk_ms timeout_ms,
+                                       status_query_done done, void *arg);
 
-/* Ends it without DONE.  */
-void inquiry_free (struct inquiry *inquiry);
+/* Cancels the query without calling DONE.  QUERY may be NULL.  */
+void status_query_free (struct status_query *query);
 
 #endif
--- a/src/proxy/placement.c
+++ b/src/proxy/placement.c
@@ -11,7 +11,7 @@
 #include "proxy/backend.h"
 #include "proxy/catalog.h"
 
-/* What was worked out for a group.  */
+/* Cached assignment of a group, valid for the two versions.  */
 struct entry
 {
   char name[NAME_BYTES];
@@ -67,10 +67,10 @@
   return NULL;
 }
 
-/* Works out who serves the group of ENTRY; all do if it is not known how
-   many connections there are.  */
+/* Determines the hosts that serve the group of ENTRY: all of them if the
+   connection limit of its instances is not known.  */
 static void
-place (struct placement *placement, struct entry *entry)
+assign_hosts (struct placement *placement, struct entry *entry)
 {
   const struct catalog_config *config = catalog_config (placement->catalog);
   const struct group_settings *settings = find_settings (config, entry->name);
@@ -114,7 +114,7 @@
     }
   entry->hosts_version = hosts;
   entry->config_version = config;
-  place (placement, entry);
+  assign_hosts (placement, entry);
   return &entry->placed;
 }
 
--- a/src/proxy/promoter.c
+++ b/src/proxy/promoter.c
@@ -14,34 +14,34 @@
 enum change_stage
 {
   CHANGE_NONE,
-  CHANGE_COMPARING,     /* hand-over: whether a replica keeps up */
-  CHANGE_STEPPING_DOWN, /* hand-over: the old primary is told to stop */
-  CHANGE_ASKING,        /* for the positions of the others */
-  CHANGE_VERIFYING,     /* that this host holds the duty still */
-  CHANGE_ORDERED,       /* the platform's answer is awaited */
-  CHANGE_AWAITED        /* accepted, until an instance leads */
+  CHANGE_COMPARING,     /* hand-over: checks whether a replica keeps up */
+  CHANGE_STEPPING_DOWN, /* hand-over: the old primary steps down */
+  CHANGE_QUERYING,      /* queries the positions of the other instances */
+  CHANGE_VERIFYING,     /* verifies that this host still holds the duty */
+  CHANGE_ORDERED,       /* waits for the platform's answer to the order */
+  CHANGE_AWAITED        /* accepted; waits for the new primary */
 };
 
-/* The change of one group's primary.  */
+/* State of the change of one group's primary; one for each group.  */
 struct change
 {
   struct promoter *promoter;
   char group[NAME_BYTES];
   enum change_stage stage;
   const char *why;
-  char old[NAME_BYTES];    /* empty if it is not known */
-  char chosen[NAME_BYTES]; /* to be promoted */
+  char old[NAME_BYTES];    /* empty if the old primary is not known */
+  char chosen[NAME_BYTES]; /* the instance to be promoted */
   bool hand_over;
-  struct position reached; /* by the old primary before a hand-over */
-  struct position final;   /* of the old primary, in a hand-over */
-  clk_ms started_ms;
-  clk_ms stage_ms;
-  clk_ms next_ms;     /* earliest start of the next change */
-  clk_ms lost_ms;     /* when the first attempt without a primary began */
-  clk_ms silent_ms;   /* since when the holder can't reach it */
-  clk_ms reported_ms; /* since when a part of the hosts can't */
+  struct position reached;     /* newest sample of the old primary */
+  struct position final;       /* position at which the old primary stopped */
+  clk_ms started_ms;           /* start of the change */
+  clk_ms stage_ms;             /* start of the stage */
+  clk_ms next_ms;              /* earliest start of the next change */
+  clk_ms first_attempt_ms;     /* first attempt since the primary was lost */
+  clk_ms unreachable_since_ms; /* for the holder of the duty, or CLK_NEVER */
+  clk_ms partly_cut_since_ms;  /* for two thirds of the hosts, or CLK_NEVER */
   uint64_t token;
-  struct inquiry *inquiry;
+  struct status_query *query;
   UT_hash_handle hh;
 };
 
@@ -55,7 +55,7 @@
   struct ktimer tick;
 };
 
-static void ask_positions (struct change *change);
+static void query_positions (struct change *change);
 
 static clk_ms
 now_ms (const struct change *change)
@@ -87,11 +87,11 @@
 }
 
 static void
-stop_change (struct change *change, const char *what, clk_ms wait_ms)
+abort_change (struct change *change, const char *what, clk_ms wait_ms)
 {
   log_change (change, "promotion_stopped", what);
-  inquiry_free (change->inquiry);
-  change->inquiry = NULL;
+  status_query_free (change->query);
+  change->query = NULL;
   change->next_ms = now_ms (change) + wait_ms;
   set_stage (change, CHANGE_NONE);
 }
@@ -116,11 +116,11 @@
       break;
     case PROMOTE_REFUSED:
       /* The token is outdated, or the instance is gone.  */
-      stop_change (change, "refused", PROMOTER_RETRY_MS);
+      abort_change (change, "refused", PROMOTER_RETRY_MS);
       roster_yield (promoter->roster, "refused by the platform");
       break;
     default:
-      stop_change (change, "not done", PROMOTER_RETRY_MS);
+      abort_change (change, "not done", PROMOTER_RETRY_MS);
     }
 }
 
@@ -134,7 +134,7 @@
     return;
   if (!held || !roster_holds (promoter->roster, &token))
     {
-      stop_change (change, "duty lost", 0);
+      abort_change (change, "duty lost", 0);
       return;
     }
   change->token = token;
@@ -148,18 +148,19 @@
 }
 
 static void
-order (struct change *change, const char *id)
+order_promotion (struct change *change, const char *id)
 {
   text_copy (change->chosen, sizeof change->chosen, id);
   set_stage (change, CHANGE_VERIFYING);
   roster_verify (change->promoter->roster, on_verified, change);
 }
 
-/* The row with the furthest log of the newest term, or NULL.  */
-static const struct inquiry_row *
-furthest (const struct inquiry_row *rows, size_t count)
+/* Returns the row with the most advanced log, the newest term first, or NULL
+   if no instance answered.  */
+static const struct status_row *
+most_advanced (const struct status_row *rows, size_t count)
 {
-  const struct inquiry_row *best = NULL;
+  const struct status_row *best = NULL;
   for (size_t i = 0; i < count; i++)
     if (rows[i].answered
         && (best == NULL
@@ -171,7 +172,7 @@
 }
 
 static size_t
-count_answers (const struct inquiry_row *rows, size_t count)
+count_answers (const struct status_row *rows, size_t count)
 {
   size_t answered = 0;
   for (size_t i = 0; i < count; i++)
@@ -179,113 +180,119 @@
   return answered;
 }
 
-/* Whether an instance with the log of TERM would bring back commits that a
-   later term has given up.  It is promoted if no other comes up.  */
+/* Returns whether promoting an instance with the log of TERM would restore
+   commits that a later term has discarded.  After PROMOTER_OLD_TERM_MS without
+   a better instance it may be promoted.  */
 static bool
-lacks_term (const struct change *change, const struct group *group,
-            uint64_t term)
+has_old_term (const struct change *change, const struct group *group,
+              uint64_t term)
 {
   return !change->hand_over
          && term < samples_newest (group_samples (group)).term
-         && now_ms (change) - change->lost_ms < PROMOTER_OLD_TERM_MS;
+         && now_ms (change) - change->first_attempt_ms < PROMOTER_OLD_TERM_MS;
 }
 
 static void
-on_positions (void *arg, const struct inquiry_row *rows, size_t count)
+on_positions (void *arg, const struct status_row *rows, size_t count)
 {
   struct change *change = arg;
   struct group *group = group_of (change);
-  const struct inquiry_row *best = furthest (rows, count);
-  change->inquiry = NULL;
+  const struct status_row *best = most_advanced (rows, count);
+  change->query = NULL;
   if (best == NULL || group == NULL)
     {
-      stop_change (change, "no instance answers", PROMOTER_RETRY_MS);
+      abort_change (change, "no instance answers", PROMOTER_RETRY_MS);
       return;
     }
-  /* Any of the others may alone hold an acknowledged commit.  */
+  /* With synchronous replicas, an instance that did not answer may be the only
+     one with an acknowledged commit.  */
   if (!change->hand_over && group_settings (group)->sync_replicas > 0
       && count_answers (rows, count) < count)
     {
-      stop_change (change, "an instance that may hold more is silent",
-                   PROMOTER_RETRY_MS);
+      abort_change (change,
+                    "an instance that may have more commits does not answer",
+                    PROMOTER_RETRY_MS);
       return;
     }
   if (change->hand_over
       && position_compare (best->status.received, change->final) < 0)
     {
-      if (now_ms (change) - change->started_ms < PROMOTER_CATCH_UP_MS)
-        ask_positions (change);
+      if (now_ms (change) - change->started_ms < PROMOTER_CATCH_UP_TIMEOUT_MS)
+        query_positions (change);
       else
-        order (change, change->old); /* no other has all commits */
+        order_promotion (change, change->old); /* only it has all commits */
       return;
     }
-  if (lacks_term (change, group, best->status.received.term))
+  if (has_old_term (change, group, best->status.received.term))
     {
-      stop_change (change, "no instance has the newest term",
-                   PROMOTER_RETRY_MS);
+      abort_change (change, "no instance has the log of the newest term",
+                    PROMOTER_RETRY_MS);
       return;
     }
-  order (change, best->id);
+  order_promotion (change, best->id);
 }
 
-/* Instances that may be promoted.  */
+/* Lists the instances to be queried before a promotion; returns their number.
+   A failover with synchronous replicas also needs the answers of those that
+   can't be promoted.  */
 static size_t
 list_candidates (struct change *change, struct group *group,
                  struct backend *out[GROUP_INSTANCES])
 {
   struct backend *all[GROUP_INSTANCES];
   size_t count = group_instances (group, all), used = 0;
-  bool must_ask_all
+  bool query_all
       = !change->hand_over && group_settings (group)->sync_replicas > 0;
   for (size_t i = 0; i < count; i++)
     {
       const struct instance_entry *entry = backend_entry (all[i]);
       if (strcmp (entry->id, change->old) == 0)
         continue;
-      if ((backend_usable (all[i]) && !entry->draining) || must_ask_all)
+      if ((backend_usable (all[i]) && !entry->draining) || query_all)
         out[used++] = all[i];
     }
   return used;
 }
 
 static void
-ask_positions (struct change *change)
+query_positions (struct change *change)
 {
   struct promoter *promoter = change->promoter;
   struct group *group = group_of (change);
   struct backend *candidates[GROUP_INSTANCES];
   size_t count
       = group != NULL ? list_candidates (change, group, candidates) : 0;
-  set_stage (change, CHANGE_ASKING);
+  set_stage (change, CHANGE_QUERYING);
   if (count == 0)
     {
-      stop_change (change, "no candidate", PROMOTER_RETRY_MS);
+      abort_change (change, "no candidate for promotion", PROMOTER_RETRY_MS);
       return;
     }
   bool pause = !change->hand_over && group_settings (group)->sync_replicas > 0;
   uint64_t term = samples_newest (group_samples (group)).term + 1;
-  change->inquiry
-      = inquiry_new (promoter->base.kernel, promoter->options.parse_status,
-                     count, candidates, pause ? STMT_PAUSE : STMT_STATUS, term,
-                     PROMOTER_ASK_MS, on_positions, change);
+  change->query = status_query_new (
+      promoter->base.kernel, promoter->options.parse_status, count, candidates,
+      pause ? STMT_PAUSE : STMT_STATUS, term, PROMOTER_QUERY_TIMEOUT_MS,
+      on_positions, change);
 }
 
 static void
-on_stepped_down (void *arg, const struct inquiry_row *rows, size_t count)
+on_stepped_down (void *arg, const struct status_row *rows, size_t count)
 {
   struct change *change = arg;
-  change->inquiry = NULL;
+  change->query = NULL;
   if (count != 1 || !rows[0].answered || rows[0].status.is_primary)
     {
-      stop_change (change, "the primary did not step down", PROMOTER_RETRY_MS);
+      abort_change (change, "the primary did not step down",
+                    PROMOTER_RETRY_MS);
       return;
     }
   change->final = rows[0].status.received;
   log_change (change, "stepped_down", change->old);
-  ask_positions (change);
+  query_positions (change);
 }
 
-/* Tells the old primary to stop.  */
+/* Orders the old primary to step down.  */
 static void
 step_down (struct change *change, struct group *group)
 {
@@ -294,44 +301,45 @@
   uint64_t term = samples_newest (group_samples (group)).term + 1;
   if (old == NULL || strcmp (backend_entry (old)->id, change->old) != 0)
     {
-      stop_change (change, "the primary has changed", 0);
+      abort_change (change, "the primary has changed", 0);
       return;
     }
   set_stage (change, CHANGE_STEPPING_DOWN);
-  change->inquiry = inquiry_new (
+  change->query = status_query_new (
       promoter->base.kernel, promoter->options.parse_status, 1, &old,
-      STMT_STEPDOWN, term, PROMOTER_ASK_MS, on_stepped_down, change);
+      STMT_STEPDOWN, term, PROMOTER_QUERY_TIMEOUT_MS, on_stepped_down, change);
 }
 
 static void
-on_compared (void *arg, const struct inquiry_row *rows, size_t count)
+on_replicas_checked (void *arg, const struct status_row *rows, size_t count)
 {
   struct change *change = arg;
   struct group *group = group_of (change);
-  const struct inquiry_row *best = furthest (rows, count);
-  change->inquiry = NULL;
+  const struct status_row *best = most_advanced (rows, count);
+  change->query = NULL;
   if (group == NULL || best == NULL
       || position_compare (best->status.received, change->reached) < 0)
     {
-      stop_change (change, "no replica keeps up", PROMOTER_KEEP_UP_MS);
+      abort_change (change, "all replicas are lagging",
+                    PROMOTER_LAGGING_RETRY_MS);
       return;
     }
   step_down (change, group);
 }
 
-/* Before the primary steps down a replica must have received what it had of
-   late: else none could take over with all commits.  */
+/* Checks before the primary steps down that a replica has received its log up
+   to the newest sample; otherwise no replica could soon have all commits.  */
 static void
-compare (struct change *change, struct group *group)
+check_replicas (struct change *change, struct group *group)
 {
   struct promoter *promoter = change->promoter;
   struct backend *candidates[GROUP_INSTANCES];
   size_t count = list_candidates (change, group, candidates);
   change->reached = samples_newest (group_samples (group));
   set_stage (change, CHANGE_COMPARING);
-  change->inquiry = inquiry_new (
+  change->query = status_query_new (
       promoter->base.kernel, promoter->options.parse_status, count, candidates,
-      STMT_STATUS, 0, PROMOTER_ASK_MS, on_compared, change);
+      STMT_STATUS, 0, PROMOTER_QUERY_TIMEOUT_MS, on_replicas_checked, change);
 }
 
 static void
@@ -344,20 +352,20 @@
   change->started_ms = now_ms (change);
   change->chosen[0] = '\0';
   change->final = (struct position){ 0 };
-  if (change->lost_ms == CLK_NEVER)
-    change->lost_ms = now_ms (change);
+  if (change->first_attempt_ms == CLK_NEVER)
+    change->first_attempt_ms = now_ms (change);
   text_copy (change->old, sizeof change->old,
              old != NULL ? backend_entry (old)->id : "");
   log_change (change, "promotion_begun", hand_over ? "hand_over" : "failover");
   if (!hand_over)
     {
-      ask_positions (change);
+      query_positions (change);
       return;
     }
-  compare (change, group);
+  check_replicas (change, group);
 }
 
-/* Whether another instance than OLD may be promoted now.  */
+/* Returns whether an instance other than OLD may be promoted now.  */
 static bool
 has_candidate (struct group *group, const struct backend *old)
 {
@@ -370,21 +378,22 @@
   return false;
 }
 
-/* The holder reaches the primary.  */
+/* Starts a hand-over if one is needed.  The holder of the duty reaches the
+   primary.  */
 static void
 consider_hand_over (struct change *change, struct group *group,
                     struct backend *leader)
 {
   struct roster_view view = roster_reports (
       change->promoter->roster, change->group, backend_entry (leader)->id);
-  change->silent_ms = CLK_NEVER;
+  change->unreachable_since_ms = CLK_NEVER;
   if (3 * view.hosts_reporting < 2 * view.hosts || view.hosts_reporting == 0)
-    change->reported_ms = CLK_NEVER;
-  else if (change->reported_ms == CLK_NEVER)
-    change->reported_ms = now_ms (change);
-  bool partly_cut
-      = change->reported_ms != CLK_NEVER
-        && now_ms (change) - change->reported_ms >= PROMOTER_PARTLY_CUT_MS;
+    change->partly_cut_since_ms = CLK_NEVER;
+  else if (change->partly_cut_since_ms == CLK_NEVER)
+    change->partly_cut_since_ms = now_ms (change);
+  bool partly_cut = change->partly_cut_since_ms != CLK_NEVER
+                    && now_ms (change) - change->partly_cut_since_ms
+                           >= PROMOTER_PARTIAL_CUT_MS;
   if (!has_candidate (group, leader))
     return;
   if (backend_entry (leader)->draining)
@@ -393,7 +402,9 @@
     start_change (change, leader, true, "many hosts can't reach the primary");
 }
 
-/* The holder can't reach the primary.  */
+/* Starts a failover if most failure domains can't reach the primary; otherwise
+   resigns the duty after a while.  The holder of the duty can't reach the
+   primary.  */
 static void
 consider_failover (struct change *change, struct group *group,
                    struct backend *leader)
@@ -401,23 +412,25 @@
   struct roster *roster = change->promoter->roster;
   struct roster_view view
       = roster_reports (roster, change->group, backend_entry (leader)->id);
-  if (change->silent_ms == CLK_NEVER)
-    change->silent_ms = now_ms (change);
+  if (change->unreachable_since_ms == CLK_NEVER)
+    change->unreachable_since_ms = now_ms (change);
   if (2 * view.domains_reporting > view.domains)
     {
       if (has_candidate (group, leader))
         start_change (change, leader, false, "the primary is unreachable");
       return;
     }
-  if (now_ms (change) - change->silent_ms >= PROMOTER_ALONE_MS)
+  if (now_ms (change) - change->unreachable_since_ms >= PROMOTER_RESIGN_MS)
     {
-      change->silent_ms = CLK_NEVER;
-      roster_yield (roster, "others reach a primary that this host can't");
+      change->unreachable_since_ms = CLK_NEVER;
+      roster_yield (roster,
+                    "other hosts reach a primary that this host can't reach");
     }
 }
 
-/* The holder knows of no primary.  One that refused has lost the lead to
-   another, which other hosts may reach.  */
+/* Starts a failover if most failure domains know no primary.  The holder of
+   the duty knows none, but other hosts may reach one: an instance that refused
+   a statement may have been replaced by another primary.  */
 static void
 consider_leaderless (struct change *change, struct group *group)
 {
@@ -430,9 +443,9 @@
     start_change (change, NULL, false, "no instance leads");
 }
 
-/* Looks after GROUP on the host with the duty.  */
+/* Monitors GROUP on the host that holds the duty.  */
 static void
-watch_group (struct change *change, struct group *group)
+monitor_group (struct change *change, struct group *group)
 {
   struct backend *leader = group_leader (group);
   if (change->stage == CHANGE_AWAITED)
@@ -441,12 +454,13 @@
           && strcmp (backend_entry (leader)->id, change->chosen) == 0)
         {
           log_change (change, "promotion_done", change->chosen);
-          change->lost_ms = CLK_NEVER;
+          change->first_attempt_ms = CLK_NEVER;
           change->next_ms = now_ms (change);
           set_stage (change, CHANGE_NONE);
         }
-      else if (now_ms (change) - change->stage_ms >= PROMOTER_EFFECT_MS)
-        stop_change (change, "without effect", 0);
+      else if (now_ms (change) - change->stage_ms
+               >= PROMOTER_EFFECT_TIMEOUT_MS)
+        abort_change (change, "the promotion had no effect", 0);
       return;
     }
   if (change->stage != CHANGE_NONE || now_ms (change) < change->next_ms)
@@ -455,7 +469,7 @@
     consider_leaderless (change, group);
   else if (backend_usable (leader))
     {
-      change->lost_ms = CLK_NEVER;
+      change->first_attempt_ms = CLK_NEVER;
       consider_hand_over (change, group, leader);
     }
   else
@@ -471,17 +485,18 @@
     return change;
   change = mem_zalloc (sizeof *change);
   change->promoter = promoter;
-  change->lost_ms = CLK_NEVER;
-  change->silent_ms = CLK_NEVER;
-  change->reported_ms = CLK_NEVER;
+  change->first_attempt_ms = CLK_NEVER;
+  change->unreachable_since_ms = CLK_NEVER;
+  change->partly_cut_since_ms = CLK_NEVER;
   text_copy (change->group, sizeof change->group, group);
   HASH_ADD_STR (promoter->changes, group, change);
   return change;
 }
 
-/* What this host reports of GROUP; NULL: nothing.  */
+/* Returns the instance that this host reports as the unreachable primary of
+   GROUP, ROSTER_NO_PRIMARY, or NULL if there is nothing to report.  */
 static const char *
-report_of (const struct promoter *promoter, struct group *group)
+report_for (const struct promoter *promoter, struct group *group)
 {
   struct backend *leader = group_leader (group);
   clk_ms now_ms = kernel_now (promoter->base.kernel);
@@ -490,30 +505,30 @@
     return NULL;
   if (leader != NULL)
     return backend_usable (leader) ? NULL : backend_entry (leader)->id;
-  return now_ms - group_leaderless_since_ms (group) >= PROMOTER_UNKNOWN_MS
+  return now_ms - group_leaderless_since_ms (group) >= PROMOTER_REPORT_MS
              ? ROSTER_NO_PRIMARY
              : NULL;
 }
 
 static void
-tend_group (void *arg, struct group *group)
+check_group (void *arg, struct group *group)
 {
   struct promoter *promoter = arg;
   struct change *change = ensure_change (promoter, group_name (group));
   struct backend *leader = group_leader (group);
   uint64_t token;
   roster_report (promoter->roster, group_name (group),
-                 report_of (promoter, group));
+                 report_for (promoter, group));
   if (leader != NULL
       && roster_reports (promoter->roster, group_name (group),
                          backend_entry (leader)->id)
                  .hosts_reporting
              > 0)
-    group_doubt_leader (group);
+    group_check_leader (group);
   if (roster_holds (promoter->roster, &token))
-    watch_group (change, group);
+    monitor_group (change, group);
   else if (change->stage != CHANGE_NONE && change->stage != CHANGE_ORDERED)
-    stop_change (change, "duty lost", 0);
+    abort_change (change, "duty lost", 0);
 }
 
 static void
@@ -522,7 +537,7 @@
   struct promoter *promoter = arg;
   struct kernel *kernel = promoter->base.kernel;
   uint64_t token;
-  groups_each (promoter->groups, tend_group, promoter);
+  groups_each (promoter->groups, check_group, promoter);
   bool holds = roster_holds (promoter->roster, &token);
   kernel_timer_set (kernel, &promoter->tick,
                     kernel_now (kernel)
@@ -548,7 +563,7 @@
   kernel_timer_cancel (module->kernel, &promoter->tick);
   HASH_ITER (hh, promoter->changes, change, next)
   {
-    inquiry_free (change->inquiry);
+    status_query_free (change->query);
     HASH_DEL (promoter->changes, change);
     free (change);
   }
--- a/src/proxy/promoter.h
+++ b/src/proxy/promoter.h
@@ -1,12 +1,18 @@
-/* promoter - orders changes of primary; acts on the host with the duty.
+/* promoter - promotes replicas when a group needs another primary.
 
-   A primary that neither the holder nor most failure domains can reach is
-   replaced by the instance with the furthest log.  One that is leaving, or
-   that two thirds of the hosts can't reach while the holder can, is handed
-   over without loss: it steps down, an instance receives all that it had, and
-   is promoted.  Where commits wait for a replica, all other instances stop
-   receiving and tell their position first, so that no commit acknowledged
-   meanwhile is left out.
+   One host at a time holds the promotion duty, a lease in the platform's store
+   (see roster.h).  It monitors all groups and starts two kinds of changes:
+
+   - Failover: the primary is unreachable for the holder of the duty and for
+     most failure domains.  The instance with the most advanced log is
+     promoted.
+   - Hand-over, without loss of commits: the primary is draining, or two thirds
+     of the hosts can't reach it while the holder can.  The primary steps down,
+     another instance receives the rest of its log, and that one is promoted.
+
+   In groups in which commits wait for a replica, a failover first makes all
+   other instances stop receiving the log and report their positions, so that
+   no commit acknowledged meanwhile is lost.
 
    Module name: "promoter".  */
 
@@ -17,44 +23,48 @@
 #include "port/promote_port.h"
 #include "proxy/statement.h"
 
+/* Interval of the checks on the host that holds the promotion duty.  */
 #define PROMOTER_TICK_MS 50
 
-/* Without any primary for this long, one is promoted, if most failure domains
-   know of none.  */
+/* A group without a primary for this long gets one by promotion, if most
+   failure domains report that they know no primary either.  */
 #define PROMOTER_LEADERLESS_MS 500
 
-/* A host that has known of no primary for this long reports that.  */
-#define PROMOTER_UNKNOWN_MS 200
+/* A host that has known no primary for this long reports that.  */
+#define PROMOTER_REPORT_MS 200
 
-/* For the instances to tell their position.  */
-#define PROMOTER_ASK_MS 250
+/* Timeout of a query for the positions of the instances, and of the order to
+   step down.  */
+#define PROMOTER_QUERY_TIMEOUT_MS 250
 
-/* For a promotion ordered to take effect, until it is ordered again.  */
-#define PROMOTER_EFFECT_MS 2500
+/* An accepted promotion that has not taken effect after this is retried.  */
+#define PROMOTER_EFFECT_TIMEOUT_MS 2500
 
-/* For a replica to receive what the old primary had, in a hand-over.  */
-#define PROMOTER_CATCH_UP_MS 1500
-/* Until a hand-over that found no replica keeping up is tried again.  */
-#define PROMOTER_KEEP_UP_MS 1000
-/* How long an instance that missed a whole term is passed over: its log holds
-   commits that the term has given up.  */
+/* Time limit of a hand-over for a replica to receive the rest of the old
+   primary's log; the old primary is promoted again after it.  */
+#define PROMOTER_CATCH_UP_TIMEOUT_MS 1500
+/* Delay before the retry of a hand-over that found all replicas lagging.  */
+#define PROMOTER_LAGGING_RETRY_MS 1000
+/* Time for which an instance that missed a whole term is not promoted: its log
+   holds commits that the later term has discarded.  */
 #define PROMOTER_OLD_TERM_MS 8000
 
-/* How long others may reach a primary that the holder can't, until the
-   holder gives the duty up.  */
-#define PROMOTER_ALONE_MS 900
+/* The holder resigns the duty if for this long it can't reach a primary that
+   other failure domains reach.  */
+#define PROMOTER_RESIGN_MS 900
 
-/* How long a part of the hosts must be cut off from a primary until it is
-   handed over.  */
-#define PROMOTER_PARTLY_CUT_MS 400
+/* A primary that two thirds of the hosts can't reach for this long is handed
+   over.  */
+#define PROMOTER_PARTIAL_CUT_MS 400
 
+/* Delay before the retry of a change that failed.  */
 #define PROMOTER_RETRY_MS 200
 
 struct promoter_options
 {
   struct promote_port *port;
   status_parse parse_status;
-  const char *host;
+  const char *host; /* name of this host */
 };
 
 struct promoter;
--- a/src/proxy/samples.c
+++ b/src/proxy/samples.c
@@ -16,11 +16,12 @@
   if (samples->count > 0)
     {
       struct sample *last = &samples->items[samples->last];
-      /* A late answer of an older term proves nothing of the newer one.  */
+      /* A delayed answer from an older term is not a position of the newer
+         one.  */
       if (position.term < last->position.term || asked_ms < last->asked_ms)
         return;
-      /* The slot of the newest moves on until a step has passed since the
-         one before it, so that samples stay spread over time.  */
+      /* Overwrites the newest sample until SAMPLES_STEP_MS have passed since
+         the one before it, so that the samples stay spread over time.  */
       size_t before = (samples->last + SAMPLES_KEPT - 1) % SAMPLES_KEPT;
       if (samples->count > 1
           && asked_ms - samples->items[before].asked_ms < SAMPLES_STEP_MS)
--- a/src/proxy/samples.h
+++ b/src/proxy/samples.h
@@ -1,10 +1,11 @@
-/* samples - what position a read must see.
+/* samples - recent log positions of a primary, which bound the staleness of
+   reads.
 
-   A sample is a position that a proven primary reported, and the time at
-   which it was asked: the position covers every commit acknowledged before
-   then.  A read that may be S ms old and arrived at A can use any sample
-   asked at A - S or later; the oldest of them leaves replicas the most time
-   to catch up.  */
+   A sample is a position that a confirmed primary reported, with the time at
+   which the request was sent: the position includes every commit acknowledged
+   before that time.  A read that arrived at time A and may return data S ms
+   old can use any sample requested at A - S or later; the oldest of them
+   leaves replicas the most time to catch up.  */
 
 #ifndef SAVORYWAY_PROXY_SAMPLES_H
 #define SAVORYWAY_PROXY_SAMPLES_H
@@ -15,36 +16,39 @@
 #include "core/types.h"
 #include "kernel/clock.h"
 
-/* 64 samples, one each 100 ms, cover the staleness of all usual routes.  */
+/* 64 samples at intervals of 100 ms cover the staleness of all usual
+   routes.  */
 #define SAMPLES_KEPT 64
 #define SAMPLES_STEP_MS 100
 
 struct sample
 {
   struct position position;
-  clk_ms asked_ms;
+  clk_ms asked_ms; /* time at which the request was sent */
 };
 
 struct samples
 {
   size_t count;
-  size_t last; /* index of the newest */
-  struct sample items[SAMPLES_KEPT];
+  size_t last;                       /* index of the newest */
+  struct sample items[SAMPLES_KEPT]; /* ring buffer */
 };
 
-/* Adds what a proven primary reported on a question sent at ASKED_MS.  */
+/* Adds POSITION, which a confirmed primary reported in answer to a request
+   sent at ASKED_MS.  */
 void samples_note (struct samples *samples, struct position position,
                    clk_ms asked_ms);
 
-/* Sets POSITION to the oldest sample asked at NOT_BEFORE_MS or later;
-   returns false if there is none.  */
+/* Sets POSITION to that of the oldest sample requested at NOT_BEFORE_MS or
+   later; returns false if there is none.  */
 bool samples_floor (const struct samples *samples, clk_ms not_before_ms,
                     struct position *position);
 
-/* When the newest sample was asked for; CLK_LONG_AGO if there is none.  */
+/* Returns the time at which the newest sample was requested; CLK_LONG_AGO if
+   there is none.  */
 clk_ms samples_newest_ms (const struct samples *samples);
 
-/* The newest sample's position; zero if there is none.  */
+/* Returns the position of the newest sample; zero if there is none.  */
 struct position samples_newest (const struct samples *samples);
 
 #endif
