--- a/src/proxy/admission.c
+++ b/src/proxy/admission.c
@@ -33,7 +33,7 @@
   pass_time (admission, now_ms);
   bool fits = admission->waiting < ADMISSION_WAITING;
   if (admission->per_ms == 0)
-    fits |= admission->waiting < ADMISSION_WAITING_FIRST;
+    fits |= admission->waiting < ADMISSION_QUEUE_DEFAULT;
   else
     fits |= (double)admission->waiting <= admission->per_ms * (double)left_ms;
   if (fits)
--- a/src/proxy/caller_impl.h
+++ b/src/proxy/caller_impl.h
@@ -81,7 +81,7 @@
   struct position own;       /* of the session's last commit */
   struct backend_conn *conn; /* owned: running, or pinned by tx */
   struct conn_user user;
-  struct group_waiter waiter;
+  struct group_subscriber waiter;
   struct ktimer again;    /* tries the statement again */
   struct ktimer deadline; /* of the statement */
   struct ktimer idle;     /* of the transaction */
--- a/src/proxy/caller_metrics.h
+++ b/src/proxy/caller_metrics.h
@@ -23,7 +23,7 @@
 };
 
 void caller_metrics_init (struct caller_metrics *self, struct metrics *metrics,
-                          bool guests);
+                          bool forwarded_sessions);
 
 /* A statement was answered with CODE after SPENT_MS.  */
 void caller_metrics_answer (struct caller_metrics *self, enum route_kind kind,
--- a/src/proxy/caller_wait.c
+++ b/src/proxy/caller_wait.c
@@ -10,7 +10,7 @@
   struct backend_conn *conn = caller->conn;
   caller->conn = NULL;
   if (conn != NULL)
-    conn_give (conn);
+    conn_release (conn);
 }
 
 void
@@ -139,7 +139,7 @@
       caller_fail (caller, caller_refusal (caller), why);
       return;
     }
-  group_await (group, &caller->waiter);
+  group_subscribe (group, &caller->waiter);
   caller_wait (caller, left_ms < wait_ms ? left_ms : wait_ms);
 }
 
--- a/src/proxy/guests.c
+++ b/src/proxy/forwarded_sessions.c
@@ -1,4 +1,4 @@
-#include "proxy/guests.h"
+#include "proxy/forwarded_sessions.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 struct guest
 {
-  struct guests *guests;
+  struct forwarded_sessions *forwarded_sessions;
   uint64_t number; /* chosen by the sender */
   bool in_transaction;
   uint64_t call; /* to be answered; 0 between statements */
@@ -23,7 +23,7 @@
   struct guest *next;
 };
 
-struct guests
+struct forwarded_sessions
 {
   struct module base;
   struct hosts *hosts;
@@ -41,7 +41,7 @@
       = { .kind = PEER_KIND_FORWARDED, .peer_body_u.forwarded = *forwarded };
   uint64_t call = guest->call;
   guest->call = 0;
-  hosts_reply (guest->guests->hosts, call, &body);
+  hosts_reply (guest->forwarded_sessions->hosts, call, &body);
 }
 
 static void
@@ -66,16 +66,16 @@
 static void
 guest_free (struct guest *guest)
 {
-  struct guests *guests = guest->guests;
+  struct forwarded_sessions *forwarded_sessions = guest->forwarded_sessions;
   peer_forwarded unknown = { .code = CODE_INDOUBT,
                              .reason = "ended while it ran",
                              .instance = "" };
   if (guest->call != 0)
     reply (guest, &unknown);
-  kernel_timer_cancel (guests->base.kernel, &guest->end);
+  kernel_timer_cancel (forwarded_sessions->base.kernel, &guest->end);
   caller_close (guest->caller);
-  DL_DELETE (guests->list, guest);
-  guests->count--;
+  DL_DELETE (forwarded_sessions->list, guest);
+  forwarded_sessions->count--;
   free (guest);
 }
 
@@ -89,11 +89,11 @@
 static void
 arm_end (struct guest *guest, bool at_once)
 {
-  struct guests *guests = guest->guests;
-  struct kernel *kernel = guests->base.kernel;
-  clk_ms idle_ms = catalog_config (guests->catalog)->tx_idle_ms;
-  clk_ms span_ms
-      = idle_ms > 0 ? idle_ms + GUESTS_IDLE_MARGIN_MS : GUESTS_IDLE_DEFAULT_MS;
+  struct forwarded_sessions *forwarded_sessions = guest->forwarded_sessions;
+  struct kernel *kernel = forwarded_sessions->base.kernel;
+  clk_ms idle_ms = catalog_config (forwarded_sessions->catalog)->tx_idle_ms;
+  clk_ms span_ms = idle_ms > 0 ? idle_ms + FORWARDED_IDLE_MARGIN_MS
+                               : GUESTS_IDLE_DEFAULT_MS;
   kernel_timer_set (kernel, &guest->end,
                     kernel_now (kernel) + (at_once ? 0 : span_ms));
 }
@@ -107,29 +107,32 @@
 }
 
 static void
-refuse (struct guests *guests, uint64_t call)
+refuse (struct forwarded_sessions *forwarded_sessions, uint64_t call)
 {
-  hosts_reply (guests->hosts, call, &(peer_body){ .kind = PEER_KIND_REFUSED });
+  hosts_reply (forwarded_sessions->hosts, call,
+               &(peer_body){ .kind = PEER_KIND_REFUSED });
 }
 
 /* Answers a statement of a transaction that is not open here, or the end of
    what has ended.  */
 static void
-reply_unknown (struct guests *guests, uint64_t call, bool rollback)
+reply_unknown (struct forwarded_sessions *forwarded_sessions, uint64_t call,
+               bool rollback)
 {
   peer_body body = { .kind = PEER_KIND_FORWARDED };
   body.peer_body_u.forwarded
       = (peer_forwarded){ .code = rollback ? CODE_OK : CODE_ABORTED,
                           .reason = "the transaction was ended",
                           .instance = "" };
-  hosts_reply (guests->hosts, call, &body);
+  hosts_reply (forwarded_sessions->hosts, call, &body);
 }
 
 static struct guest *
-find_guest (const struct guests *guests, uint64_t number)
+find_guest (const struct forwarded_sessions *forwarded_sessions,
+            uint64_t number)
 {
   struct guest *guest;
-  DL_FOREACH (guests->list, guest)
+  DL_FOREACH (forwarded_sessions->list, guest)
   {
     if (guest->number == number)
       return guest;
@@ -139,9 +142,10 @@
 
 /* Returns NULL if a name of the request does not fit.  */
 static struct guest *
-open_guest (struct guests *guests, const peer_forward *request)
+open_guest (struct forwarded_sessions *forwarded_sessions,
+            const peer_forward *request)
 {
-  clk_ms now_ms = kernel_now (guests->base.kernel);
+  clk_ms now_ms = kernel_now (forwarded_sessions->base.kernel);
   struct guest *guest = mem_zalloc (sizeof *guest);
   struct caller_sink sink = { .answer = on_answer, .arg = guest };
   struct route route = { .kind = (enum route_kind)request->route_kind,
@@ -156,7 +160,8 @@
       free (guest);
       return NULL;
     }
-  struct caller *caller = caller_open_guest (guests->callers, &route, &sink);
+  struct caller *caller
+      = caller_open_guest (forwarded_sessions->callers, &route, &sink);
   caller->opened_ms = now_ms - request->session_age_ms;
   caller->may_wait = request->may_wait;
   if (request->begins)
@@ -165,13 +170,13 @@
       caller->tx_read_only = request->read_only;
       caller->tx_begun_ms = now_ms - request->transaction_age_ms;
     }
-  guest->guests = guests;
+  guest->forwarded_sessions = forwarded_sessions;
   guest->caller = caller;
   guest->number = request->number;
   guest->in_transaction = request->in_transaction;
   guest->end = (struct ktimer){ .fire = on_end, .arg = guest };
-  DL_APPEND (guests->list, guest);
-  guests->count++;
+  DL_APPEND (forwarded_sessions->list, guest);
+  forwarded_sessions->count++;
   return guest;
 }
 
@@ -219,7 +224,7 @@
                                  .text = text_or_null (request->text),
                                  .name = text_or_null (request->name),
                                  .rest = request->rest };
-  kernel_timer_cancel (guest->guests->base.kernel, &guest->end);
+  kernel_timer_cancel (guest->forwarded_sessions->base.kernel, &guest->end);
   guest->call = call;
   caller_submit (guest->caller, &statement);
 }
@@ -228,15 +233,15 @@
 static void
 go_on (struct guest *guest, uint64_t call, const peer_forward *request)
 {
-  struct guests *guests = guest->guests;
+  struct forwarded_sessions *forwarded_sessions = guest->forwarded_sessions;
   if (request->kind == STMT_ROLLBACK)
     {
       guest_free (guest);
-      reply_unknown (guests, call, true);
+      reply_unknown (forwarded_sessions, call, true);
     }
   else if (guest->call != 0 || !may_run (request)
            || !set_session (guest->caller, request))
-    refuse (guests, call);
+    refuse (forwarded_sessions, call);
   else
     run (guest, call, request);
 }
@@ -244,9 +249,9 @@
 static void
 on_forward (void *arg, uint64_t call, const peer_message *message)
 {
-  struct guests *guests = arg;
+  struct forwarded_sessions *forwarded_sessions = arg;
   const peer_forward *request = &message->body.peer_body_u.forward;
-  struct guest *guest = find_guest (guests, request->number);
+  struct guest *guest = find_guest (forwarded_sessions, request->number);
   if (guest != NULL)
     {
       go_on (guest, call, request);
@@ -255,68 +260,75 @@
   if (request->in_transaction && !request->begins
       && !MUTANT (run_unknown_transaction))
     {
-      reply_unknown (guests, call, request->kind == STMT_ROLLBACK);
+      reply_unknown (forwarded_sessions, call, request->kind == STMT_ROLLBACK);
       return;
     }
-  if (!guests->refuses && may_run (request))
-    guest = open_guest (guests, request);
+  if (!forwarded_sessions->refuses && may_run (request))
+    guest = open_guest (forwarded_sessions, request);
   if (guest == NULL)
-    refuse (guests, call);
+    refuse (forwarded_sessions, call);
   else if (!set_session (guest->caller, request))
     {
       guest_free (guest);
-      refuse (guests, call);
+      refuse (forwarded_sessions, call);
     }
   else
     run (guest, call, request);
 }
 
 size_t
-guests_count (const struct guests *guests)
+forwarded_sessions_count (const struct forwarded_sessions *forwarded_sessions)
 {
-  return guests->count;
+  return forwarded_sessions->count;
 }
 
 void
-guests_refuse (struct guests *guests)
+forwarded_sessions_stop_accepting (
+    struct forwarded_sessions *forwarded_sessions)
 {
-  guests->refuses = true;
+  forwarded_sessions->refuses = true;
 }
 
 static void
 guests_start (struct module *module)
 {
-  struct guests *guests = (struct guests *)module;
+  struct forwarded_sessions *forwarded_sessions
+      = (struct forwarded_sessions *)module;
   struct kernel *kernel = module->kernel;
-  guests->hosts = (struct hosts *)kernel_find (kernel, "hosts");
-  guests->callers = (struct callers *)kernel_find (kernel, "callers");
-  guests->catalog = (struct catalog *)kernel_find (kernel, "catalog");
-  hosts_handle (guests->hosts, PEER_KIND_FORWARD, on_forward, guests);
+  forwarded_sessions->hosts = (struct hosts *)kernel_find (kernel, "hosts");
+  forwarded_sessions->callers
+      = (struct callers *)kernel_find (kernel, "callers");
+  forwarded_sessions->catalog
+      = (struct catalog *)kernel_find (kernel, "catalog");
+  hosts_handle (forwarded_sessions->hosts, PEER_KIND_FORWARD, on_forward,
+                forwarded_sessions);
 }
 
 static void
 guests_free (struct module *module)
 {
-  struct guests *guests = (struct guests *)module;
-  while (guests->list != NULL)
-    guest_free (guests->list);
-  free (guests);
+  struct forwarded_sessions *forwarded_sessions
+      = (struct forwarded_sessions *)module;
+  while (forwarded_sessions->list != NULL)
+    guest_free (forwarded_sessions->list);
+  free (forwarded_sessions);
 }
 
 static const struct module_ops guests_ops
     = { .start = guests_start, .free = guests_free };
 
-struct guests *
-guests_new (void)
+struct forwarded_sessions *
+forwarded_sessions_new (void)
 {
-  struct guests *guests = mem_zalloc (sizeof *guests);
-  guests->base.ops = &guests_ops;
-  guests->base.name = "guests";
-  return guests;
+  struct forwarded_sessions *forwarded_sessions
+      = mem_zalloc (sizeof *forwarded_sessions);
+  forwarded_sessions->base.ops = &guests_ops;
+  forwarded_sessions->base.name = "guests";
+  return forwarded_sessions;
 }
 
 struct module *
-guests_module (struct guests *guests)
+forwarded_sessions_module (struct forwarded_sessions *forwarded_sessions)
 {
-  return &guests->base;
+  return &forwarded_sessions->base;
 }
--- a/src/proxy/group.h
+++ b/src/proxy/group.h
@@ -78,14 +78,14 @@
 
 /* Subscriber to the next change of a group, such as a new sample or a new
    primary.  Embedded by its users.  */
-struct group_waiter
+struct group_subscriber
 {
   /* Called once per subscription.  Must not call this module: it sets a timer
      instead.  */
-  void (*wake) (struct group_waiter *waiter);
+  void (*wake) (struct group_subscriber *waiter);
   struct group *group; /* NULL while not subscribed */
-  struct group_waiter *prev;
-  struct group_waiter *next;
+  struct group_subscriber *prev;
+  struct group_subscriber *next;
 };
 
 struct groups_options
@@ -105,7 +105,7 @@
 
 /* Called when the hosts that share the connections of the instances are
    known.  Until then every host uses GROUP_INITIAL_SHARE.  */
-void groups_hosts_counted (struct groups *groups);
+void groups_set_hosts_known (struct groups *groups);
 
 /* Returns whether statements for the group NAME run on connections of this
    host; true for an unknown group.  */
@@ -121,7 +121,7 @@
 bool groups_cut_off (const struct groups *groups);
 
 /* Sets whether this host monitors the primaries of all groups.  */
-void groups_set_watch (struct groups *groups, bool monitor);
+void groups_set_monitoring (struct groups *groups, bool monitor);
 
 /* Returns whether this host has connections to the group's instances, either
    to serve the group or to monitor its primary.  */
@@ -145,32 +145,33 @@
 struct admission *group_admission (struct group *group, bool primary);
 
 /* Subscribes WAITER to the next change; does nothing if it is subscribed.  */
-void group_await (struct group *group, struct group_waiter *waiter);
-void group_cancel (struct group_waiter *waiter);
+void group_subscribe (struct group *group, struct group_subscriber *waiter);
+void group_unsubscribe (struct group_subscriber *waiter);
 
 /* Probes the primary to get a new sample, and marks the group as in use.  */
-void group_sample (struct group *group);
+void group_request_sample (struct group *group);
 
 /* Records that BACKEND was the primary when it answered, with POSITION, a
    statement sent at ASKED_MS.  */
-void group_proven (struct group *group, struct backend *backend,
-                   struct position position, clk_ms asked_ms);
+void group_confirm_leader (struct group *group, struct backend *backend,
+                           struct position position, clk_ms asked_ms);
 /* Returns whether a read on BACKEND, the primary, at POSITION of its log sees
    all commits acknowledged before.  */
-bool group_covers (const struct group *group, const struct backend *backend,
-                   struct position position);
+bool group_leader_caught_up (const struct group *group,
+                             const struct backend *backend,
+                             struct position position);
 
 /* Records that BACKEND refused a statement because it is not the primary.  */
-void group_refuted (struct group *group, struct backend *backend);
+void group_reject_leader (struct group *group, struct backend *backend);
 /* Probes the primary, unless it answered recently.  Called when another host
    reports that it can't reach it.  */
 void group_check_leader (struct group *group);
 
 /* Records that BACKEND's log did not contain a required position.  */
-void group_behind (struct group *group, struct backend *backend);
+void group_mark_behind (struct group *group, struct backend *backend);
 
 /* An instance considered for a read.  */
-struct group_choice
+struct read_candidate
 {
   struct backend *backend;
   double cost_ms;      /* expected time, with the cost to other statements */
@@ -179,8 +180,8 @@
 
 /* Lists the instances with their costs for a read that must see the position
    FLOOR; returns their number.  */
-size_t group_choices (const struct group *group, struct position floor,
-                      struct group_choice out[GROUP_INSTANCES]);
+size_t group_read_candidates (const struct group *group, struct position floor,
+                              struct read_candidate out[GROUP_INSTANCES]);
 
 /* Returns the instance for a read that must see the position FLOOR, except
    those in TRIED; NULL if none can serve it.  */
--- a/src/proxy/group_domains.c
+++ b/src/proxy/group_domains.c
@@ -45,7 +45,7 @@
         domain->reached |= backend_usable (backend);
       unusable += !backend_usable (backend);
       if (backend_usable (backend) && stale_count < GROUP_INSTANCES
-          && group_now (group) - backend_heard_ms (backend)
+          && group_now (group) - backend_last_answer_ms (backend)
                  >= GROUP_DOMAIN_PROBE_MS)
         stale[stale_count++] = backend;
     }
--- a/src/proxy/group_proof.c
+++ b/src/proxy/group_proof.c
@@ -89,8 +89,9 @@
 }
 
 bool
-group_covers (const struct group *group, const struct backend *backend,
-              struct position position)
+group_leader_caught_up (const struct group *group,
+                        const struct backend *backend,
+                        struct position position)
 {
   if (MUTANT (trust_new_primary))
     return true;
@@ -99,8 +100,8 @@
 }
 
 void
-group_proven (struct group *group, struct backend *backend,
-              struct position position, clk_ms asked_ms)
+group_confirm_leader (struct group *group, struct backend *backend,
+                      struct position position, clk_ms asked_ms)
 {
   /* A delayed answer from an earlier term must not replace the primary of a
      newer one.  */
@@ -108,14 +109,14 @@
     return;
   group_set_leader (group, backend, "proven");
   find_caught_up (group, backend, position);
-  if (!group_covers (group, backend, position))
+  if (!group_leader_caught_up (group, backend, position))
     return;
-  samples_note (&group->samples, position, asked_ms);
+  samples_add (&group->samples, position, asked_ms);
   group_notify (group);
 }
 
 void
-group_refuted (struct group *group, struct backend *backend)
+group_reject_leader (struct group *group, struct backend *backend)
 {
   group_forget_log (group, backend);
   if (group->leader == backend)
--- a/src/proxy/samples.h
+++ b/src/proxy/samples.h
@@ -36,8 +36,8 @@
 
 /* Adds POSITION, which a confirmed primary reported in answer to a request
    sent at ASKED_MS.  */
-void samples_note (struct samples *samples, struct position position,
-                   clk_ms asked_ms);
+void samples_add (struct samples *samples, struct position position,
+                  clk_ms asked_ms);
 
 /* Sets POSITION to that of the oldest sample requested at NOT_BEFORE_MS or
    later; returns false if there is none.  */
