--- a/src/proxy/catalog.h
+++ b/src/proxy/catalog.h
@@ -74,8 +74,8 @@
   char zone[NAME_BYTES];
   uint32_t slots;
   bool draining;
-  bool is_primary; /* the instance's own view of its role */
-  uint64_t born_ms;
+  bool is_primary;   /* the instance's own view of its role */
+  uint64_t born_ms;  /* start time of the instance */
   uint64_t revision; /* of the store, at which the entry was written */
 };
 
--- a/src/proxy/group.c
+++ b/src/proxy/group.c
@@ -8,31 +8,31 @@
 #include "kernel/mem.h"
 
 void
-group_subscribe (struct group *group, struct group_subscriber *waiter)
+group_subscribe (struct group *group, struct group_subscriber *subscriber)
 {
-  if (waiter->group != NULL)
+  if (subscriber->group != NULL)
     return;
-  waiter->group = group;
-  DL_APPEND (group->waiters, waiter);
+  subscriber->group = group;
+  DL_APPEND (group->subscribers, subscriber);
 }
 
 void
-group_unsubscribe (struct group_subscriber *waiter)
+group_unsubscribe (struct group_subscriber *subscriber)
 {
-  if (waiter->group == NULL)
+  if (subscriber->group == NULL)
     return;
-  DL_DELETE (waiter->group->waiters, waiter);
-  waiter->group = NULL;
+  DL_DELETE (subscriber->group->subscribers, subscriber);
+  subscriber->group = NULL;
 }
 
 void
 group_notify (struct group *group)
 {
-  while (group->waiters != NULL)
+  while (group->subscribers != NULL)
     {
-      struct group_subscriber *waiter = group->waiters;
-      group_unsubscribe (waiter);
-      waiter->wake (waiter);
+      struct group_subscriber *subscriber = group->subscribers;
+      group_unsubscribe (subscriber);
+      subscriber->wake (subscriber);
     }
 }
 
@@ -75,10 +75,10 @@
 
 static void
 on_proven (void *arg, struct backend *backend, struct position position,
-           clk_ms asked_ms)
+           clk_ms sent_ms)
 {
   struct member_instance *instance = arg;
-  group_confirm_leader (instance->group, backend, position, asked_ms);
+  group_confirm_leader (instance->group, backend, position, sent_ms);
 }
 
 static void
--- a/src/proxy/group.h
+++ b/src/proxy/group.h
@@ -82,7 +82,7 @@
 {
   /* Called once per subscription.  Must not call this module: it sets a timer
      instead.  */
-  void (*wake) (struct group_subscriber *waiter);
+  void (*wake) (struct group_subscriber *subscriber);
   struct group *group; /* NULL while not subscribed */
   struct group_subscriber *prev;
   struct group_subscriber *next;
@@ -144,17 +144,19 @@
    instance.  */
 struct admission *group_admission (struct group *group, bool primary);
 
-/* Subscribes WAITER to the next change; does nothing if it is subscribed.  */
-void group_subscribe (struct group *group, struct group_subscriber *waiter);
-void group_unsubscribe (struct group_subscriber *waiter);
+/* Subscribes SUBSCRIBER to the next change; does nothing if it is subscribed.
+ */
+void group_subscribe (struct group *group,
+                      struct group_subscriber *subscriber);
+void group_unsubscribe (struct group_subscriber *subscriber);
 
 /* Probes the primary to get a new sample, and marks the group as in use.  */
 void group_request_sample (struct group *group);
 
 /* Records that BACKEND was the primary when it answered, with POSITION, a
-   statement sent at ASKED_MS.  */
+   statement sent at SENT_MS.  */
 void group_confirm_leader (struct group *group, struct backend *backend,
-                           struct position position, clk_ms asked_ms);
+                           struct position position, clk_ms sent_ms);
 /* Returns whether a read on BACKEND, the primary, at POSITION of its log sees
    all commits acknowledged before.  */
 bool group_leader_caught_up (const struct group *group,
--- a/src/proxy/group_impl.h
+++ b/src/proxy/group_impl.h
@@ -31,11 +31,11 @@
   struct position caught_up_at;
   struct backend *queried; /* the instance that QUERY was sent to */
   struct status_query *query;
-  clk_ms leaderless_ms; /* time at which the last primary was lost */
+  clk_ms leaderless_ms; /* since when no primary is known */
   clk_ms used_ms;       /* time of the last read */
   bool served;          /* statements run on connections of this host */
   bool connected;       /* this host has connections */
-  struct group_subscriber *waiters;
+  struct group_subscriber *subscribers;
   struct admission for_primary;
   struct admission for_any;
   UT_hash_handle hh;
--- a/src/proxy/group_proof.c
+++ b/src/proxy/group_proof.c
@@ -101,7 +101,7 @@
 
 void
 group_confirm_leader (struct group *group, struct backend *backend,
-                      struct position position, clk_ms asked_ms)
+                      struct position position, clk_ms sent_ms)
 {
   /* A delayed answer from an earlier term must not replace the primary of a
      newer one.  */
@@ -111,7 +111,7 @@
   find_caught_up (group, backend, position);
   if (!group_leader_caught_up (group, backend, position))
     return;
-  samples_add (&group->samples, position, asked_ms);
+  samples_add (&group->samples, position, sent_ms);
   group_notify (group);
 }
 
--- a/src/proxy/promoter.c
+++ b/src/proxy/promoter.c
@@ -19,7 +19,7 @@
   CHANGE_QUERYING,      /* queries the positions of the other instances */
   CHANGE_VERIFYING,     /* verifies that this host still holds the duty */
   CHANGE_ORDERED,       /* waits for the platform's answer to the order */
-  CHANGE_AWAITED        /* accepted; waits for the new primary */
+  CHANGE_AWAITED        /* order not refused; waits for the new primary */
 };
 
 /* State of the change of one group's primary; one for each group.  */
@@ -37,7 +37,7 @@
   clk_ms started_ms;           /* start of the change */
   clk_ms stage_ms;             /* start of the stage */
   clk_ms next_ms;              /* earliest start of the next change */
-  clk_ms first_attempt_ms;     /* first attempt since the primary was lost */
+  clk_ms first_attempt_ms;     /* first attempt in a series, or CLK_NEVER */
   clk_ms unreachable_since_ms; /* for the holder of the duty, or CLK_NEVER */
   clk_ms partly_cut_since_ms;  /* for two thirds of the hosts, or CLK_NEVER */
   uint64_t token;
@@ -233,8 +233,8 @@
 }
 
 /* Lists the instances to be queried before a promotion; returns their number.
-   A failover with synchronous replicas also needs the answers of those that
-   can't be promoted.  */
+   A failover with synchronous replicas queries all others, also unreachable or
+   draining ones, as any may be the only one with an acknowledged commit.  */
 static size_t
 list_candidates (struct change *change, struct group *group,
                  struct backend *out[GROUP_INSTANCES])
@@ -378,16 +378,17 @@
   return false;
 }
 
-/* Starts a hand-over if one is needed.  The holder of the duty reaches the
-   primary.  */
+/* Called while the holder of the duty reaches the primary.  Starts a hand-over
+   if one is needed.  */
 static void
 consider_hand_over (struct change *change, struct group *group,
                     struct backend *leader)
 {
-  struct roster_report_count view = roster_count_reports (
+  struct roster_report_count reports = roster_count_reports (
       change->promoter->roster, change->group, backend_entry (leader)->id);
   change->unreachable_since_ms = CLK_NEVER;
-  if (3 * view.hosts_reporting < 2 * view.hosts || view.hosts_reporting == 0)
+  if (3 * reports.hosts_reporting < 2 * reports.hosts
+      || reports.hosts_reporting == 0)
     change->partly_cut_since_ms = CLK_NEVER;
   else if (change->partly_cut_since_ms == CLK_NEVER)
     change->partly_cut_since_ms = now_ms (change);
@@ -402,19 +403,19 @@
     start_change (change, leader, true, "many hosts can't reach the primary");
 }
 
-/* Starts a failover if most failure domains can't reach the primary; otherwise
-   resigns the duty after a while.  The holder of the duty can't reach the
-   primary.  */
+/* Called while the holder of the duty can't reach the primary.  Starts a
+   failover if most failure domains can't reach it either; otherwise resigns
+   the duty after PROMOTER_RESIGN_MS.  */
 static void
 consider_failover (struct change *change, struct group *group,
                    struct backend *leader)
 {
   struct roster *roster = change->promoter->roster;
-  struct roster_report_count view = roster_count_reports (
+  struct roster_report_count reports = roster_count_reports (
       roster, change->group, backend_entry (leader)->id);
   if (change->unreachable_since_ms == CLK_NEVER)
     change->unreachable_since_ms = now_ms (change);
-  if (2 * view.domains_reporting > view.domains)
+  if (2 * reports.domains_reporting > reports.domains)
     {
       if (has_candidate (group, leader))
         start_change (change, leader, false, "the primary is unreachable");
@@ -428,17 +429,17 @@
     }
 }
 
-/* Starts a failover if most failure domains know no primary.  The holder of
-   the duty knows none, but other hosts may reach one: an instance that refused
-   a statement may have been replaced by another primary.  */
+/* Called while the holder of the duty knows no primary.  Starts a failover
+   only if most failure domains know none either: an instance that refused a
+   statement may have been replaced by a primary that other hosts reach.  */
 static void
 consider_leaderless (struct change *change, struct group *group)
 {
   clk_ms since_ms = group_leaderless_since_ms (group);
-  struct roster_report_count view = roster_count_reports (
+  struct roster_report_count reports = roster_count_reports (
       change->promoter->roster, change->group, ROSTER_NO_PRIMARY);
   if (now_ms (change) - since_ms >= PROMOTER_LEADERLESS_MS
-      && 2 * view.domains_reporting > view.domains
+      && 2 * reports.domains_reporting > reports.domains
       && has_candidate (group, NULL))
     start_change (change, NULL, false, "no instance leads");
 }
--- a/src/proxy/promoter.h
+++ b/src/proxy/promoter.h
@@ -37,7 +37,7 @@
    step down.  */
 #define PROMOTER_QUERY_TIMEOUT_MS 250
 
-/* An accepted promotion that has not taken effect after this is retried.  */
+/* A promotion that was ordered and has no effect after this is retried.  */
 #define PROMOTER_EFFECT_TIMEOUT_MS 2500
 
 /* Time limit of a hand-over for a replica to receive the rest of the old
--- a/src/proxy/samples.c
+++ b/src/proxy/samples.c
@@ -10,31 +10,30 @@
 }
 
 void
-samples_add (struct samples *samples, struct position position,
-             clk_ms asked_ms)
+samples_add (struct samples *samples, struct position position, clk_ms sent_ms)
 {
   if (samples->count > 0)
     {
       struct sample *last = &samples->items[samples->last];
       /* A delayed answer from an older term is not a position of the newer
          one.  */
-      if (position.term < last->position.term || asked_ms < last->asked_ms)
+      if (position.term < last->position.term || sent_ms < last->sent_ms)
         return;
       /* Overwrites the newest sample until SAMPLES_STEP_MS have passed since
          the one before it, so that the samples stay spread over time.  */
       size_t before = (samples->last + SAMPLES_KEPT - 1) % SAMPLES_KEPT;
       if (samples->count > 1
-          && asked_ms - samples->items[before].asked_ms < SAMPLES_STEP_MS)
+          && sent_ms - samples->items[before].sent_ms < SAMPLES_STEP_MS)
         {
           if (position_compare (position, last->position) >= 0)
-            *last = (struct sample){ position, asked_ms };
+            *last = (struct sample){ position, sent_ms };
           return;
         }
       samples->last = (samples->last + 1) % SAMPLES_KEPT;
     }
   if (samples->count < SAMPLES_KEPT)
     samples->count++;
-  samples->items[samples->last] = (struct sample){ position, asked_ms };
+  samples->items[samples->last] = (struct sample){ position, sent_ms };
 }
 
 bool
@@ -42,7 +41,7 @@
                struct position *position)
 {
   if (samples->count == 0
-      || (newest (samples)->asked_ms < not_before_ms
+      || (newest (samples)->sent_ms < not_before_ms
           && !MUTANT (ignore_sample_age)))
     return false;
   const struct sample *found = newest (samples);
@@ -51,7 +50,7 @@
       const struct sample *sample
           = &samples->items[(samples->last + SAMPLES_KEPT - i) % SAMPLES_KEPT];
       /* Positions of an older term may have been rolled back.  */
-      if (sample->asked_ms < not_before_ms
+      if (sample->sent_ms < not_before_ms
           || sample->position.term != found->position.term)
         break;
       found = sample;
@@ -63,7 +62,7 @@
 clk_ms
 samples_newest_ms (const struct samples *samples)
 {
-  return samples->count > 0 ? newest (samples)->asked_ms : CLK_LONG_AGO;
+  return samples->count > 0 ? newest (samples)->sent_ms : CLK_LONG_AGO;
 }
 
 struct position
--- a/src/proxy/samples.h
+++ b/src/proxy/samples.h
@@ -24,7 +24,7 @@
 struct sample
 {
   struct position position;
-  clk_ms asked_ms; /* time at which the request was sent */
+  clk_ms sent_ms; /* time at which the request was sent */
 };
 
 struct samples
@@ -35,9 +35,9 @@
 };
 
 /* Adds POSITION, which a confirmed primary reported in answer to a request
-   sent at ASKED_MS.  */
+   sent at SENT_MS.  */
 void samples_add (struct samples *samples, struct position position,
-                  clk_ms asked_ms);
+                  clk_ms sent_ms);
 
 /* Sets POSITION to that of the oldest sample requested at NOT_BEFORE_MS or
    later; returns false if there is none.  */
--- a/src/proxy/status_query.c
+++ b/src/proxy/status_query.c
@@ -8,7 +8,7 @@
 /* The statement to one instance.  */
 struct query_user
 {
-  struct conn_user user; /* first */
+  struct conn_user user; /* must be the first member */
   struct status_query *query;
   struct backend_conn *conn;
   bool ended;
