--- a/src/proxy/promoter.c
+++ b/src/proxy/promoter.c
@@ -441,7 +441,7 @@
   if (now_ms (change) - since_ms >= PROMOTER_LEADERLESS_MS
       && 2 * reports.domains_reporting > reports.domains
       && has_candidate (group, NULL))
-    start_change (change, NULL, false, "no instance leads");
+    start_change (change, NULL, false, "no known primary");
 }
 
 /* Monitors GROUP on the host that holds the duty.  */
