--- a/src/proxy/admission.c
+++ b/src/proxy/admission.c
@@ -6,15 +6,15 @@
 /* Ends the span.  What ran while nothing waited tells nothing of how much
    can run.  */
 static void
-pass_time (struct admission *admission, clk_ms now_ms)
+end_span (struct admission *admission, clk_ms now_ms)
 {
   clk_ms spent_ms = now_ms - admission->span_begin_ms;
   if (spent_ms < ADMISSION_SPAN_MS)
     return;
   double rate = (double)admission->ran / (double)spent_ms;
   if (admission->busy && admission->waiting > 0 && rate > 0)
-    admission->per_ms += (admission->per_ms == 0 ? 1.0 : SPAN_WEIGHT)
-                         * (rate - admission->per_ms);
+    admission->rate_per_ms += (admission->rate_per_ms == 0 ? 1.0 : SPAN_WEIGHT)
+                              * (rate - admission->rate_per_ms);
   admission->busy = admission->waiting > 0;
   admission->span_begin_ms = now_ms;
   admission->ran = 0;
@@ -23,19 +23,20 @@
 void
 admission_note_ran (struct admission *admission, clk_ms now_ms)
 {
-  pass_time (admission, now_ms);
+  end_span (admission, now_ms);
   admission->ran++;
 }
 
 bool
 admission_enter (struct admission *admission, clk_ms now_ms, clk_ms left_ms)
 {
-  pass_time (admission, now_ms);
-  bool fits = admission->waiting < ADMISSION_WAITING;
-  if (admission->per_ms == 0)
+  end_span (admission, now_ms);
+  bool fits = admission->waiting < ADMISSION_QUEUE_MIN;
+  if (admission->rate_per_ms == 0)
     fits |= admission->waiting < ADMISSION_WAITING_FIRST;
   else
-    fits |= (double)admission->waiting <= admission->per_ms * (double)left_ms;
+    fits |= (double)admission->waiting
+            <= admission->rate_per_ms * (double)left_ms;
   if (fits)
     admission->waiting++;
   return fits;
--- a/src/proxy/admission.h
+++ b/src/proxy/admission.h
@@ -18,16 +18,16 @@
 #define ADMISSION_SPAN_MS 200
 
 /* So many may wait in any case, and so many while no rate is known.  */
-#define ADMISSION_WAITING 3
+#define ADMISSION_QUEUE_MIN 3
 #define ADMISSION_WAITING_FIRST 32
 
 /* Zero-initialised: nothing waits, and no rate is known.  */
 struct admission
 {
   clk_ms span_begin_ms;
-  uint32_t ran;  /* in this span */
-  bool busy;     /* some waited when it began */
-  double per_ms; /* rate while some wait; 0: not known */
+  uint32_t ran;       /* in this span */
+  bool busy;          /* some waited when it began */
+  double rate_per_ms; /* rate while some wait; 0: not known */
   uint32_t waiting;
 };
 
--- a/src/proxy/backend.c
+++ b/src/proxy/backend.c
@@ -24,7 +24,7 @@
 
 /* Connections that stay open without use.  */
 uint32_t
-backend_kept (const struct backend *backend)
+backend_idle_target (const struct backend *backend)
 {
   return (backend->share + 1) / 2;
 }
@@ -50,11 +50,11 @@
 
 /* Something was heard: the instance lives and reaches this host.  */
 void
-backend_note_heard (struct backend *backend)
+backend_note_answer (struct backend *backend)
 {
   bool was_usable = backend_usable (backend);
-  backend->heard_ms = backend_now (backend);
-  backend->refused_since_ms = CLK_NEVER;
+  backend->last_answer_ms = backend_now (backend);
+  backend->connect_failed_since_ms = CLK_NEVER;
   backend->probe_unanswered_ms = CLK_NEVER;
   backend->failures = 0;
   if (was_usable)
@@ -65,7 +65,7 @@
 }
 
 void
-backend_note_refused (struct backend *backend)
+backend_note_connect_failure (struct backend *backend)
 {
   bool was_usable = backend_usable (backend);
   clk_ms wait_ms = BACKEND_RETRY_FIRST_MS
@@ -74,25 +74,25 @@
     wait_ms = BACKEND_RETRY_LAST_MS;
   backend->failures++;
   backend->retry_ms = backend_now (backend) + wait_ms;
-  if (backend->refused_since_ms == CLK_NEVER)
-    backend->refused_since_ms = backend_now (backend);
+  if (backend->connect_failed_since_ms == CLK_NEVER)
+    backend->connect_failed_since_ms = backend_now (backend);
   backend_arm_tick (backend, backend->retry_ms);
   if (!was_usable)
     return;
   log_event (
       backend_log (backend), LOG_WARNING, "instance_unreachable",
       LOG_S ("instance", backend->entry.id),
-      LOG_I ("heard_ms_ago", backend_now (backend) - backend->heard_ms));
+      LOG_I ("heard_ms_ago", backend_now (backend) - backend->last_answer_ms));
   fail_waiters (backend);
   backend->options.changed (backend->options.arg, backend);
 }
 
-/* Opens connections for who waits, within the limit.  */
+/* Opens connections for who waits, within the timeout.  */
 static void
-open_wanted (struct backend *backend)
+open_needed (struct backend *backend)
 {
   uint32_t wanted = backend->waiting;
-  if (backend->conn_count < BACKEND_WARM_CONNECTIONS && wanted == 0)
+  if (backend->conn_count < BACKEND_MIN_CONNECTIONS && wanted == 0)
     wanted = 1;
   if (backend->closing)
     return;
@@ -131,7 +131,7 @@
 }
 
 static void
-conn_own (struct backend_conn *conn, struct conn_user *user)
+conn_assign (struct backend_conn *conn, struct conn_user *user)
 {
   conn_set_phase (conn, CONN_OWNED);
   conn->user = user;
@@ -145,7 +145,7 @@
     conn = best_idle (backend, user->values_hash);
   if (conn != NULL)
     {
-      conn_own (conn, user);
+      conn_assign (conn, user);
       return conn;
     }
   user->waits_for = backend;
@@ -157,7 +157,7 @@
   else
     DL_PREPEND_ELEM (backend->waiters, at, user);
   backend->waiting++;
-  open_wanted (backend);
+  open_needed (backend);
   return NULL;
 }
 
@@ -182,21 +182,21 @@
       if (conn == NULL)
         break;
       backend_cancel (user);
-      conn_own (conn, user);
+      conn_assign (conn, user);
       user->ops->granted (user, conn);
     }
   if (backend->waiters != NULL)
-    open_wanted (backend);
+    open_needed (backend);
 }
 
 /* Closes idle connections above those that are kept.  */
 static void
-trim (struct backend *backend)
+close_spare (struct backend *backend)
 {
   struct backend_conn *conn, *next;
   DL_FOREACH_SAFE (backend->conns, conn, next)
   {
-    if (backend->conn_count <= backend_kept (backend))
+    if (backend->conn_count <= backend_idle_target (backend))
       return;
     if (conn->phase == CONN_IDLE
         && backend_now (backend) - conn->since_ms >= BACKEND_SPARE_IDLE_MS)
@@ -208,10 +208,10 @@
 on_tick (void *arg)
 {
   struct backend *backend = arg;
-  trim (backend);
+  close_spare (backend);
   backend_serve_waiters (backend);
-  open_wanted (backend);
-  if (backend->conn_count > backend_kept (backend))
+  open_needed (backend);
+  if (backend->conn_count > backend_idle_target (backend))
     backend_arm_tick (backend, backend_now (backend) + BACKEND_SPARE_IDLE_MS);
 }
 
@@ -276,7 +276,7 @@
   struct backend_conn *conn = backend->probe_conn;
   clk_ms asked_ms = backend->probe_ms;
   conn_close (conn);
-  if (backend->heard_ms > asked_ms)
+  if (backend->last_answer_ms > asked_ms)
     return; /* only this connection is silent */
   if (backend->probe_unanswered_ms == CLK_NEVER)
     backend->probe_unanswered_ms = asked_ms;
@@ -285,7 +285,7 @@
   log_event (
       backend_log (backend), LOG_WARNING, "instance_silent",
       LOG_S ("instance", backend->entry.id),
-      LOG_I ("heard_ms_ago", backend_now (backend) - backend->heard_ms));
+      LOG_I ("heard_ms_ago", backend_now (backend) - backend->last_answer_ms));
   fail_waiters (backend);
   backend->options.changed (backend->options.arg, backend);
 }
@@ -305,7 +305,7 @@
 bool
 backend_usable (const struct backend *backend)
 {
-  return backend->refused_since_ms == CLK_NEVER
+  return backend->connect_failed_since_ms == CLK_NEVER
          && backend->probe_unanswered_ms == CLK_NEVER;
 }
 
@@ -318,9 +318,9 @@
   clk_ms oldest_ms = CLK_NEVER;
   DL_FOREACH (backend->conns, conn)
   {
-    if (conn->expected_count > 0
-        && conn->expected[conn->expected_head].sent_ms < oldest_ms)
-      oldest_ms = conn->expected[conn->expected_head].sent_ms;
+    if (conn->pending_count > 0
+        && conn->pending[conn->pending_head].sent_ms < oldest_ms)
+      oldest_ms = conn->pending[conn->pending_head].sent_ms;
   }
   return oldest_ms;
 }
@@ -331,8 +331,8 @@
   clk_ms oldest_ms = oldest_unanswered_ms (backend);
   check_probe (backend);
   if (!backend_usable (backend)
-      || (oldest_ms != CLK_NEVER && backend->heard_ms <= oldest_ms
-          && backend_now (backend) - oldest_ms >= BACKEND_SILENT_MS))
+      || (oldest_ms != CLK_NEVER && backend->last_answer_ms <= oldest_ms
+          && backend_now (backend) - oldest_ms >= BACKEND_ANSWER_TIMEOUT_MS))
     backend_probe (backend);
 }
 
@@ -344,12 +344,12 @@
   backend->options.entry = NULL;
   backend->entry = *options->entry;
   backend->share = 1;
-  backend->refused_since_ms = CLK_NEVER;
+  backend->connect_failed_since_ms = CLK_NEVER;
   backend->probe_unanswered_ms = CLK_NEVER;
   backend->probe_user.ops = &probe_ops;
   backend->tick.fire = on_tick;
   backend->tick.arg = backend;
-  backend->heard_ms = backend_now (backend);
+  backend->last_answer_ms = backend_now (backend);
   return backend;
 }
 
@@ -411,9 +411,9 @@
 /* Ends what this host has with the instance; what runs on a connection is
    answered first.  */
 static void
-let_go (struct backend *backend)
+release_instance (struct backend *backend)
 {
-  backend->refused_since_ms = CLK_NEVER;
+  backend->connect_failed_since_ms = CLK_NEVER;
   backend->probe_unanswered_ms = CLK_NEVER;
   backend_cancel (&backend->probe_user);
   fail_waiters (backend);
@@ -426,19 +426,19 @@
   bool ends = share == 0 && backend->share > 0;
   backend->share = share;
   if (ends)
-    let_go (backend);
+    release_instance (backend);
 }
 
 void
 backend_warm (struct backend *backend)
 {
-  open_wanted (backend);
+  open_needed (backend);
 }
 
 clk_ms
 backend_heard_ms (const struct backend *backend)
 {
-  return backend->heard_ms;
+  return backend->last_answer_ms;
 }
 
 struct position
@@ -453,7 +453,7 @@
   const struct backend_conn *conn;
   uint32_t busy = 0;
   DL_FOREACH (backend->conns, conn)
-  busy += conn->expected_count > 0;
+  busy += conn->pending_count > 0;
   return busy;
 }
 
@@ -482,7 +482,7 @@
 double
 backend_typical_ms (const struct backend *backend)
 {
-  return backend->typical_ms;
+  return backend->mean_latency_ms;
 }
 
 double
@@ -497,6 +497,6 @@
   backend->refusal_share
       += AVERAGE_WEIGHT * ((refused ? 1.0 : 0.0) - backend->refusal_share);
   if (!refused)
-    backend->typical_ms
-        += AVERAGE_WEIGHT * ((double)latency_ms - backend->typical_ms);
+    backend->mean_latency_ms
+        += AVERAGE_WEIGHT * ((double)latency_ms - backend->mean_latency_ms);
 }
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -16,7 +16,7 @@
 #include "proxy/values.h"
 
 /* Connections kept open to an instance without use.  */
-#define BACKEND_WARM_CONNECTIONS 1
+#define BACKEND_MIN_CONNECTIONS 1
 
 /* Opened at a time: each takes a slot of the instance for a while.  */
 #define BACKEND_OPENING_LIMIT 1
@@ -38,15 +38,15 @@
 
 /* A connection whose transaction is not ended in this time is closed, and
    one whose last statement is not answered in the second.  */
-#define BACKEND_CLEAN_MS 400
-#define BACKEND_LATE_ANSWER_MS 3000
+#define BACKEND_ROLLBACK_TIMEOUT_MS 400
+#define BACKEND_LATE_ANSWER_TIMEOUT_MS 3000
 
 /* An unanswered statement makes an instance suspect after this; a probe
-   takes no slot, so its limit is the shorter one.  */
-#define BACKEND_SILENT_MS 250
+   takes no slot, so its timeout is the shorter one.  */
+#define BACKEND_ANSWER_TIMEOUT_MS 250
 #define BACKEND_PROBE_TIMEOUT_MS 250
 
-#define BACKEND_STATEMENTS 64 /* prepared on a connection */
+#define BACKEND_PREPARED_LIMIT 64 /* prepared on a connection */
 
 /* What an answer belongs to.  */
 enum conn_step
@@ -105,7 +105,7 @@
 void backend_set_entry (struct backend *backend,
                         const struct instance_entry *entry);
 
-/* Sets the fair share of connections of this host, its limit; 0: it has
+/* Sets the fair share of connections of this host, its timeout; 0: it has
    none.  */
 void backend_set_share (struct backend *backend, uint32_t share);
 
--- a/src/proxy/backend_conn.c
+++ b/src/proxy/backend_conn.c
@@ -31,7 +31,7 @@
 conn_free (struct backend_conn *conn)
 {
   struct backend *backend = conn->backend;
-  kernel_timer_cancel (backend->options.kernel, &conn->limit);
+  kernel_timer_cancel (backend->options.kernel, &conn->timeout);
   if (conn->phase == CONN_OPENING)
     backend->opening--;
   if (backend->probe_conn == conn)
@@ -56,14 +56,14 @@
 {
   struct backend *backend = conn->backend;
   conn->user = NULL;
-  kernel_timer_cancel (backend->options.kernel, &conn->limit);
+  kernel_timer_cancel (backend->options.kernel, &conn->timeout);
   conn_set_phase (conn, CONN_IDLE);
   if (backend->share == 0)
     {
       conn_close (conn);
       return;
     }
-  if (backend->conn_count > backend_kept (backend))
+  if (backend->conn_count > backend_idle_target (backend))
     backend_arm_tick (backend, backend_now (backend) + BACKEND_SPARE_IDLE_MS);
   backend_serve_waiters (backend);
 }
@@ -77,15 +77,15 @@
   if (hello->has_position
       && position_compare (hello->position, backend->position) > 0)
     backend->position = hello->position;
-  backend_note_heard (backend);
+  backend_note_answer (backend);
   conn_idle (conn);
 }
 
 /* Whether CONN may serve another user.  */
 static bool
-conn_clean (const struct backend_conn *conn)
+conn_is_clean (const struct backend_conn *conn)
 {
-  return conn->expected_count == 0
+  return conn->pending_count == 0
          && (conn->state == TX_IDLE || MUTANT (reuse_open_transaction));
 }
 
@@ -93,14 +93,15 @@
 static void
 clean (struct backend_conn *conn)
 {
-  if (conn_clean (conn))
+  if (conn_is_clean (conn))
     conn_idle (conn);
-  else if (conn->expected_count == 0)
+  else if (conn->pending_count == 0)
     {
       conn_send (conn, STEP_END, &(struct statement){ .kind = STMT_ROLLBACK },
                  NULL);
-      kernel_timer_set (conn->backend->options.kernel, &conn->limit,
-                        backend_now (conn->backend) + BACKEND_CLEAN_MS);
+      kernel_timer_set (conn->backend->options.kernel, &conn->timeout,
+                        backend_now (conn->backend)
+                            + BACKEND_ROLLBACK_TIMEOUT_MS);
     }
 }
 
@@ -109,7 +110,7 @@
 {
   struct backend_conn *conn = arg;
   struct backend *backend = conn->backend;
-  if (conn->expected_count == 0)
+  if (conn->pending_count == 0)
     {
       log_event (backend_log (backend), LOG_WARNING, "answer_to_nothing",
                  LOG_S ("instance", backend->entry.id));
@@ -119,23 +120,23 @@
         user->ops->lost (user);
       return;
     }
-  struct expectation expected = conn->expected[conn->expected_head];
-  conn->expected_head = (conn->expected_head + 1) % OUTSTANDING_LIMIT;
-  conn->expected_count--;
+  struct pending_answer pending = conn->pending[conn->pending_head];
+  conn->pending_head = (conn->pending_head + 1) % PENDING_LIMIT;
+  conn->pending_count--;
   conn->state = answer->state;
   if (answer->has_position)
     backend->position = answer->position;
-  backend_note_heard (backend);
-  if (expected.step == STEP_BEGIN && answer->code == CODE_READONLY)
+  backend_note_answer (backend);
+  if (pending.step == STEP_BEGIN && answer->code == CODE_READONLY)
     backend->options.refuted (backend->options.arg, backend);
-  if (expected.step == STEP_SETUP && answer->code != CODE_OK)
+  if (pending.step == STEP_SETUP && answer->code != CODE_OK)
     {
       /* What holds on it is unknown: the next user resets it.  */
       conn->values_hash = UINT64_MAX;
       forget_statements (conn);
     }
   if (conn->user != NULL)
-    conn->user->ops->answered (conn->user, conn, expected.step, answer);
+    conn->user->ops->answered (conn->user, conn, pending.step, answer);
   else if (conn->phase == CONN_CLEANING)
     clean (conn);
 }
@@ -151,19 +152,19 @@
     log_event (backend_log (backend), LOG_INFO, "connection_lost",
                LOG_S ("instance", backend->entry.id),
                LOG_S ("code", code_name (code)),
-               LOG_U ("outstanding", conn->expected_count),
+               LOG_U ("outstanding", conn->pending_count),
                LOG_S ("phase", was_opening ? "opening" : "open"));
   conn_free (conn);
   if (was_opening && code == CODE_TOOMANY)
     {
       /* The instance lives; others hold its connections.  */
-      backend_note_heard (backend);
+      backend_note_answer (backend);
       backend->failures++;
       backend->retry_ms = backend_now (backend) + BACKEND_TOOMANY_RETRY_MS;
       backend_arm_tick (backend, backend->retry_ms);
     }
   else if (was_opening || code != CODE_LOST)
-    backend_note_refused (backend);
+    backend_note_connect_failure (backend);
   else if (!backend->closing)
     backend_arm_tick (backend, backend_now (backend));
   if (user != NULL)
@@ -175,14 +176,14 @@
 
 /* A connection could not be opened or cleaned in time.  */
 static void
-limit_reached (void *arg)
+on_timeout (void *arg)
 {
   struct backend_conn *conn = arg;
   struct backend *backend = conn->backend;
   bool was_opening = conn->phase == CONN_OPENING;
   conn_close (conn);
   if (was_opening)
-    backend_note_refused (backend);
+    backend_note_connect_failure (backend);
   backend_arm_tick (backend, backend_now (backend));
 }
 
@@ -195,15 +196,15 @@
                                     .group = backend->entry.group,
                                     .id = backend->entry.id };
   conn->backend = backend;
-  conn->limit.fire = limit_reached;
-  conn->limit.arg = conn;
+  conn->timeout.fire = on_timeout;
+  conn->timeout.arg = conn;
   conn_set_phase (conn, CONN_OPENING);
   DL_APPEND (backend->conns, conn);
   backend->conn_count++;
   backend->opening++;
   metrics_count (kernel_metrics (backend->options.kernel),
                  "connections_opened_total");
-  kernel_timer_set (backend->options.kernel, &conn->limit,
+  kernel_timer_set (backend->options.kernel, &conn->timeout,
                     backend_now (backend) + BACKEND_CONNECT_TIMEOUT_MS);
   conn->link = backend->options.port->ops->open (backend->options.port,
                                                  &target, &events, conn);
@@ -220,12 +221,12 @@
            const struct statement *statement, const struct position *after)
 {
   struct backend *backend = conn->backend;
-  uint32_t place
-      = (conn->expected_head + conn->expected_count) % OUTSTANDING_LIMIT;
-  if (conn->expected_count == OUTSTANDING_LIMIT)
+  uint32_t place = (conn->pending_head + conn->pending_count) % PENDING_LIMIT;
+  if (conn->pending_count == PENDING_LIMIT)
     abort (); /* set-up is bounded by VALUES_LIMIT */
-  conn->expected[place] = (struct expectation){ step, backend_now (backend) };
-  conn->expected_count++;
+  conn->pending[place]
+      = (struct pending_answer){ step, backend_now (backend) };
+  conn->pending_count++;
   backend->options.port->ops->send (backend->options.port, conn->link,
                                     statement, after);
 }
@@ -272,7 +273,7 @@
              enum stmt_kind kind, const char *shape)
 {
   char name[VALUE_NAME_BYTES + 2];
-  uint32_t before = conn->expected_count;
+  uint32_t before = conn->pending_count;
   bool in_transaction = conn->state != TX_IDLE;
   if (conn->values_hash != values->hash && !MUTANT (skip_values))
     {
@@ -281,11 +282,11 @@
       send_values (conn, values);
     }
   if (shape == NULL)
-    return conn->expected_count > before;
+    return conn->pending_count > before;
   conn_statement_name (kind, shape, name, sizeof name);
   if (has_statement (conn, name))
-    return conn->expected_count > before;
-  if (conn->statement_count == BACKEND_STATEMENTS && !in_transaction)
+    return conn->pending_count > before;
+  if (conn->statement_count == BACKEND_PREPARED_LIMIT && !in_transaction)
     {
       send_reset (conn);
       send_values (conn, values);
@@ -293,7 +294,7 @@
   conn_send (conn, STEP_SETUP,
              &(struct statement){ .kind = kind, .name = name, .rest = shape },
              NULL);
-  if (conn->statement_count < BACKEND_STATEMENTS)
+  if (conn->statement_count < BACKEND_PREPARED_LIMIT)
     conn->statements[conn->statement_count++] = mem_strdup (name);
   return true;
 }
@@ -312,7 +313,7 @@
 uint32_t
 conn_outstanding (const struct backend_conn *conn)
 {
-  return conn->expected_count;
+  return conn->pending_count;
 }
 
 enum tx_state
@@ -332,7 +333,7 @@
       return;
     }
   conn_set_phase (conn, CONN_CLEANING);
-  kernel_timer_set (backend->options.kernel, &conn->limit,
-                    backend_now (backend) + BACKEND_LATE_ANSWER_MS);
+  kernel_timer_set (backend->options.kernel, &conn->timeout,
+                    backend_now (backend) + BACKEND_LATE_ANSWER_TIMEOUT_MS);
   clean (conn);
 }
--- a/src/proxy/backend_impl.h
+++ b/src/proxy/backend_impl.h
@@ -7,7 +7,7 @@
 
 /* Statements of one connection without an answer; only set-up is sent in
    numbers.  */
-#define OUTSTANDING_LIMIT 160
+#define PENDING_LIMIT 160
 
 enum conn_phase
 {
@@ -17,7 +17,7 @@
   CONN_CLEANING /* without a user, until it may be idle */
 };
 
-struct expectation
+struct pending_answer
 {
   enum conn_step step;
   clk_ms sent_ms;
@@ -32,12 +32,12 @@
   enum tx_state state;
   uint64_t values_hash;
   size_t statement_count;
-  char *statements[BACKEND_STATEMENTS];
-  struct expectation expected[OUTSTANDING_LIMIT];
-  uint32_t expected_head;
-  uint32_t expected_count;
+  char *statements[BACKEND_PREPARED_LIMIT];
+  struct pending_answer pending[PENDING_LIMIT];
+  uint32_t pending_head;
+  uint32_t pending_count;
   clk_ms since_ms; /* of the phase */
-  struct ktimer limit;
+  struct ktimer timeout;
   struct backend_conn *prev;
   struct backend_conn *next;
 };
@@ -53,8 +53,8 @@
   struct conn_user *waiters;
   uint32_t waiting;
   struct position position;
-  clk_ms heard_ms;
-  clk_ms refused_since_ms; /* connections refused or unanswered */
+  clk_ms last_answer_ms;
+  clk_ms connect_failed_since_ms; /* connections refused or unanswered */
   clk_ms probe_unanswered_ms;
   uint32_t failures;
   clk_ms retry_ms;
@@ -62,7 +62,7 @@
   struct conn_user probe_user;
   struct backend_conn *probe_conn;
   clk_ms probe_ms;
-  double typical_ms;
+  double mean_latency_ms;
   double refusal_share;
   bool closing;
 };
@@ -71,12 +71,12 @@
 clk_ms backend_now (const struct backend *backend);
 struct log *backend_log (const struct backend *backend);
 /* Connections that stay open without use.  */
-uint32_t backend_kept (const struct backend *backend);
+uint32_t backend_idle_target (const struct backend *backend);
 /* Looks after the connections at DUE_MS, or before.  */
 void backend_arm_tick (struct backend *backend, clk_ms due_ms);
 /* Something was heard, or a connection was refused or not answered.  */
-void backend_note_heard (struct backend *backend);
-void backend_note_refused (struct backend *backend);
+void backend_note_answer (struct backend *backend);
+void backend_note_connect_failure (struct backend *backend);
 /* Passes idle connections to who waits.  */
 void backend_serve_waiters (struct backend *backend);
 
--- a/src/proxy/caller.c
+++ b/src/proxy/caller.c
@@ -20,7 +20,7 @@
 }
 
 static void
-arm_idle (struct caller *caller)
+set_idle_timer (struct caller *caller)
 {
   const struct catalog_config *config
       = catalog_config (caller->callers->catalog);
@@ -59,8 +59,8 @@
   caller_metrics_answer (caller_metrics_of (caller), caller->run.route.kind,
                          answer->code,
                          kernel_now (kernel) - caller->run.arrived_ms);
-  kernel_timer_cancel (kernel, &caller->deadline);
-  kernel_timer_cancel (kernel, &caller->again);
+  kernel_timer_cancel (kernel, &caller->deadline_timer);
+  kernel_timer_cancel (kernel, &caller->retry_timer);
   kernel_timer_cancel (kernel, &caller->slow);
   group_cancel (&caller->waiter);
   if (caller->run.queue != NULL)
@@ -68,7 +68,7 @@
   text_copy (caller->served_by, sizeof caller->served_by,
              caller->run.instance);
   run_clear (&caller->run);
-  arm_idle (caller);
+  set_idle_timer (caller);
   caller->sink.answer (caller->sink.arg, &out);
 }
 
@@ -169,7 +169,7 @@
   caller->tx_read_only = read_only;
   caller->tx_ran = false;
   caller->tx_wrote = false;
-  caller->tx_untold = false;
+  caller->tx_failure_unreported = false;
   caller->tx_begun_ms = caller->run.arrived_ms;
   caller_finish_code (caller, CODE_OK, NULL);
 }
@@ -188,9 +188,9 @@
       end_transaction (caller);
       caller_finish_code (caller, CODE_ABORTED, "the transaction failed");
     }
-  else if (caller->tx_untold)
+  else if (caller->tx_failure_unreported)
     {
-      caller->tx_untold = false;
+      caller->tx_failure_unreported = false;
       caller_finish_code (caller, CODE_ABORTED, "the transaction was ended");
     }
   else
@@ -198,14 +198,14 @@
 }
 
 static void
-take_statement (struct caller *caller, const struct statement *statement)
+init_run (struct caller *caller, const struct statement *statement)
 {
   struct run_request *run = &caller->run;
   run_clear (run);
   run->kind = statement->kind;
   run->id = mem_strdup (statement->id);
   run->arrived_ms = caller_now (caller);
-  run->held_since_ms = CLK_NEVER;
+  run->group_wait_since_ms = CLK_NEVER;
   caller->overloaded = false;
 }
 
@@ -239,7 +239,7 @@
 caller_submit (struct caller *caller, const struct statement *statement)
 {
   kernel_timer_cancel (caller->callers->base.kernel, &caller->idle);
-  take_statement (caller, statement);
+  init_run (caller, statement);
   if (caller->tx == TX_FAILED)
     {
       submit_failed (caller, statement->kind);
@@ -292,7 +292,7 @@
 /* Ends a transaction that has been idle for too long; the caller is told at
    its next statement.  */
 static void
-idle_reached (void *arg)
+on_idle_timeout (void *arg)
 {
   struct caller *caller = arg;
   if (caller->tx != TX_OPEN || caller->run.stage != RUN_NONE)
@@ -301,7 +301,7 @@
              LOG_S ("database", caller->database));
   caller_run_stop (caller);
   caller->tx = TX_FAILED;
-  caller->tx_untold = true;
+  caller->tx_failure_unreported = true;
 }
 
 static struct caller *
@@ -313,7 +313,7 @@
   caller->sink = *sink;
   text_copy (caller->database, sizeof caller->database, database);
   caller->opened_ms = kernel_now (callers->base.kernel);
-  caller->idle.fire = idle_reached;
+  caller->idle.fire = on_idle_timeout;
   caller->idle.arg = caller;
   caller_run_init (caller);
   DL_APPEND (callers->list, caller);
@@ -330,18 +330,18 @@
 }
 
 struct caller *
-caller_open_guest (struct callers *callers, const struct route *route,
-                   const struct caller_sink *sink)
+caller_open_forwarded (struct callers *callers, const struct route *route,
+                       const struct caller_sink *sink)
 {
   struct caller *caller = caller_new (callers, route->database, sink);
-  caller->guest = true;
+  caller->forwarded = true;
   caller->tx_route = *route;
   return caller;
 }
 
 /* The caller has left, or its host gives the statement up: nobody is told.  */
 static void
-log_left (const struct caller *caller)
+log_abandoned (const struct caller *caller)
 {
   static const char *const stages[]
       = { [RUN_WAITING] = "waiting",
@@ -365,7 +365,7 @@
 {
   struct callers *callers = caller->callers;
   struct kernel *kernel = callers->base.kernel;
-  log_left (caller);
+  log_abandoned (caller);
   caller_run_stop (caller);
   kernel_timer_cancel (kernel, &caller->idle);
   if (caller->run.queue != NULL)
@@ -385,7 +385,7 @@
   struct callers *callers = (struct callers *)module;
   caller_metrics_init (&callers->metrics, kernel_metrics (module->kernel),
                        false);
-  caller_metrics_init (&callers->guest_metrics,
+  caller_metrics_init (&callers->forwarded_metrics,
                        kernel_metrics (module->kernel), true);
   callers->catalog = (struct catalog *)kernel_find (module->kernel, "catalog");
   callers->groups = (struct groups *)kernel_find (module->kernel, "groups");
--- a/src/proxy/caller.h
+++ b/src/proxy/caller.h
@@ -1,13 +1,18 @@
-/* caller - callers' sessions: transactions, values, prepared statements.
-
-   A session answers BEGIN, SET, PREPARE, DEALLOCATE and ROLLBACK itself.  Its
-   transaction opens on an instance with the first statement that runs there,
-   and stays on that connection until it ends.  Each statement of a caller
-   gets exactly one answer.
-
-   Errors that promise that nothing was kept (CODE_BUSY, CODE_ABORTED and
-   their like) are given only where no write and no COMMIT was sent, or the
-   instance said that it did not run.
+/* caller - sessions of callers.
+
+   A session holds a caller's transaction, session values and prepared
+   statements, and runs one statement at a time.  BEGIN, SET, PREPARE,
+   DEALLOCATE and ROLLBACK are answered by the session itself.  Other
+   statements run on an instance of the database's group: writes on the
+   primary, reads also on replicas that have applied the required position.
+   Where this host has no connection to a suitable instance, another host runs
+   them.  A transaction opens on an instance with its first statement that
+   runs there, and stays on that connection until it ends.
+
+   Each statement gets exactly one answer.  An error code that promises that
+   nothing was committed (such as CODE_BUSY and CODE_ABORTED) is returned only
+   if no write and no COMMIT was sent, or if the instance reported that the
+   statement did not run.
 
    Module name: "callers".  */
 
@@ -17,34 +22,38 @@
 #include "kernel/kernel.h"
 #include "proxy/group.h"
 
-/* Instances that one statement may be tried on.  */
-#define CALLER_TRIES 6
+/* Maximum number of instances that one read is tried on.  */
+#define CALLER_TRIED_LIMIT 6
 
-/* Until a statement refused for want of a slot is tried again; longer each
-   time.  */
-#define CALLER_BUSY_WAIT_MS 12
+/* Backoff after a refusal because the instance had no free slot, multiplied
+   by the number of attempts.  */
+#define CALLER_BUSY_BACKOFF_MS 12
 
-/* How long a statement waits for a primary, or for a sample of its
-   position: a promotion under way ends within it.  */
-#define CALLER_HOLD_MS 900
+/* Maximum time that a statement waits for a primary, or for a sample that
+   covers its position.  A promotion in progress completes within it.  */
+#define CALLER_GROUP_WAIT_MS 900
 
-/* Until a primary that has not applied its log yet is asked again.  */
-#define CALLER_CATCH_UP_MS 20
+/* Retry interval while the primary has not applied its log yet.  */
+#define CALLER_CATCH_UP_RETRY_MS 20
 
-/* A read without an answer for this long, and for CALLER_SLOW_RATIO times
-   what is usual, is tried on another instance.  */
+/* A read is tried on another instance if it has no answer after
+   CALLER_SLOW_MS and after CALLER_SLOW_FACTOR times the mean latency of the
+   instance.  */
 #define CALLER_SLOW_MS 400
-#define CALLER_SLOW_RATIO 8
+#define CALLER_SLOW_FACTOR 8
 
-/* What an answer takes from the instance to the caller.  */
+/* Time allowed for the answer to travel from the instance to the caller;
+   deducted from the staleness limit of a read.  */
 #define CALLER_STALENESS_MARGIN_MS 20
 
+/* Maximum number of prepared statements of a session.  */
 #define CALLER_PREPARED_LIMIT 64
 
 struct callers;
 struct caller;
 
-/* Where answers go.  Calls nothing of this module.  */
+/* Receives the answers of a session.  The callback must not call functions of
+   this module.  */
 struct caller_sink
 {
   void (*answer) (void *arg, const struct answer *answer);
@@ -54,16 +63,17 @@
 struct callers *callers_new (void);
 struct module *callers_module (struct callers *callers);
 
-/* Begins a session with DATABASE.  Returns NULL if there is no such
+/* Opens a session with DATABASE.  Returns NULL if the catalog has no such
    database.  */
 struct caller *caller_open (struct callers *callers, const char *database,
                             const struct caller_sink *sink);
 
-/* Runs STATEMENT; no other one of the session must be running.  The answer
-   may come from within this call.  */
+/* Runs STATEMENT.  No other statement of the session may be running.  SINK may
+   be called before this function returns.  */
 void caller_submit (struct caller *caller, const struct statement *statement);
 
-/* Ends the session; no answer follows.  */
+/* Closes the session and rolls back its transaction.  A statement that is
+   running gets no answer.  */
 void caller_close (struct caller *caller);
 
 #endif
--- a/src/proxy/caller_impl.h
+++ b/src/proxy/caller_impl.h
@@ -1,4 +1,4 @@
-/* caller_impl - what the files of the callers module share.  */
+/* caller_impl - internal types and functions of the callers module.  */
 
 #ifndef SAVORYWAY_PROXY_CALLER_IMPL_H
 #define SAVORYWAY_PROXY_CALLER_IMPL_H
@@ -9,14 +9,14 @@
 
 enum run_stage
 {
-  RUN_NONE,       /* no statement runs */
-  RUN_WAITING,    /* for a primary, a sample, or the time to try again */
+  RUN_NONE,       /* no statement is running */
+  RUN_WAITING,    /* for a primary, a sample, or the next attempt */
   RUN_CONNECTING, /* for a connection */
-  RUN_SETTING_UP, /* values, prepared statement, BEGIN */
-  RUN_SENT
+  RUN_SETTING_UP, /* sending values, prepared statement, BEGIN */
+  RUN_SENT        /* waiting for the answer */
 };
 
-/* The statement that runs.  */
+/* The statement that is running.  */
 struct run_request
 {
   enum run_stage stage;
@@ -26,31 +26,30 @@
   char *name;
   char *rest;
   bool writes;
-  enum stmt_kind prepared_kind; /* STMT_EXECUTE */
-  const char *shape;            /* likewise; belongs to the session */
+  enum stmt_kind prepared_kind; /* of STMT_EXECUTE */
+  const char *shape;            /* likewise; owned by the session */
   struct route route;
   clk_ms arrived_ms;
   clk_ms sent_ms;
   clk_ms begin_sent_ms;
-  clk_ms held_since_ms; /* CLK_NEVER while not held */
+  clk_ms group_wait_since_ms; /* first wait for the group; CLK_NEVER */
   uint32_t attempts;
-  char instance[NAME_BYTES]; /* tried last; for the log */
-  enum code refusal;         /* of the last attempt */
-  bool proves;               /* read on the primary inside a plain BEGIN */
-  bool begins;               /* opens the transaction on the instance */
-  struct admission *queue;   /* that it waits in; NULL: none */
-  bool has_floor;
-  struct position floor;
+  char instance[NAME_BYTES]; /* of the last attempt; logged */
+  enum code refusal;         /* code of the last attempt */
+  bool confirms_leader;      /* read on the primary within BEGIN */
+  bool begins;               /* BEGIN was sent for this statement */
+  struct admission *queue;   /* that counts it; NULL: none */
+  bool has_min_position;
+  struct position min_position;
   size_t tried_count;
-  char tried[CALLER_TRIES][NAME_BYTES];
+  char tried[CALLER_TRIED_LIMIT][NAME_BYTES];
 };
 
-/* What runs through another host.  */
+/* A statement or transaction that is forwarded to another host.  */
 struct remote_run
 {
-  uint64_t number; /* there, of the statement or the open transaction; 0: none
-                    */
-  uint64_t call;   /* under way; 0: none */
+  uint64_t number; /* identifies it there; 0: nothing is forwarded */
+  uint64_t call;   /* in flight; 0: none */
   struct peer_address host;
 };
 
@@ -70,28 +69,28 @@
   struct values values;
   size_t prepared_count;
   struct prepared *prepared;
-  /* Transaction, as the caller sees it.  */
+  /* State of the transaction as reported to the caller.  */
   enum tx_state tx;
   bool tx_read_only;
-  bool tx_ran;    /* a statement of it has run */
-  bool tx_wrote;  /* one that writes */
-  bool tx_untold; /* ended between statements: the next one tells */
+  bool tx_ran;                /* a statement of the transaction has run */
+  bool tx_wrote;              /* a write was sent */
+  bool tx_failure_unreported; /* failed between statements */
   clk_ms tx_begun_ms;
   struct route tx_route;
-  struct position own;       /* of the session's last commit */
-  struct backend_conn *conn; /* owned: running, or pinned by tx */
+  struct position own;       /* of the last commit of the session */
+  struct backend_conn *conn; /* in use by run or transaction */
   struct conn_user user;
   struct group_waiter waiter;
-  struct ktimer again;    /* tries the statement again */
-  struct ktimer deadline; /* of the statement */
-  struct ktimer idle;     /* of the transaction */
-  struct ktimer slow;     /* a read without an answer */
+  struct ktimer retry_timer;    /* next attempt */
+  struct ktimer deadline_timer; /* timeout of the statement */
+  struct ktimer idle;           /* idle timeout of the transaction */
+  struct ktimer slow;           /* a read has no answer yet */
   struct run_request run;
   struct remote_run remote;
-  bool overloaded; /* the last statement was refused as too many wait */
-  char served_by[NAME_BYTES]; /* instance of the last statement */
-  bool guest;                 /* of another host's session */
-  bool may_wait;              /* guest: for a primary */
+  bool overloaded;            /* refused, as too many statements wait */
+  char served_by[NAME_BYTES]; /* instance that ran the last statement */
+  bool forwarded;             /* runs statements of another host */
+  bool may_wait;              /* forwarded: for a primary */
   struct caller *prev;
   struct caller *next;
 };
@@ -104,7 +103,7 @@
   struct hosts *hosts;
   struct forwarder *forwarder;
   struct caller_metrics metrics;
-  struct caller_metrics guest_metrics;
+  struct caller_metrics forwarded_metrics;
   struct caller *list;
 };
 
@@ -112,54 +111,65 @@
 void caller_run_init (struct caller *caller);
 /* Starts the statement in caller->run.  */
 void caller_run_start (struct caller *caller);
-/* Gives up what runs and the connection, without an answer.  */
+/* Cancels the running statement without an answer, and releases the
+   connection.  */
 void caller_run_stop (struct caller *caller);
 
+/* Returns whether the statement must run on the primary.  */
 bool caller_needs_leader (const struct caller *caller);
+/* Returns whether the statement can be run again after it may have run.  */
 bool caller_is_repeatable (const struct caller *caller);
 
 /* caller_wait.c */
 void caller_drop_conn (struct caller *caller);
 void caller_set_timer (struct caller *caller, struct ktimer *timer,
                        clk_ms span_ms);
-/* The code for a statement that did not run and will not.  */
+/* Returns the code for a statement that is given up before it ran.  */
 enum code caller_refusal (const struct caller *caller);
-/* Waits for SPAN_MS, then tries again.  */
+/* Retries the statement after SPAN_MS.  */
 void caller_wait (struct caller *caller, clk_ms span_ms);
-/* Joins those that wait for a slot or a connection.  Returns false if the
-   statement would not be served in time: then it has been refused.
-   Transactions that have run already wait in any case.  */
-bool caller_queue_up (struct caller *caller);
-/* Goes on after an attempt that did not run, or may be repeated.  */
+/* Adds the statement to the admission queue, which counts those that wait
+   for a slot or a connection.  Returns false if it would not run in time; it
+   has then been refused.  Transactions that have run a statement already are
+   always admitted.  */
+bool caller_enter_queue (struct caller *caller);
+/* Retries the statement, possibly after a backoff.  It must not have run, or
+   must be repeatable.  CODE is the result of the last attempt.  */
 void caller_retry (struct caller *caller, enum code code);
-/* Waits for a change of the group, or WAIT_MS, for a bounded time.  */
-void caller_hold (struct caller *caller, const char *why, clk_ms wait_ms);
-/* Ends the statement with CODE, and the transaction that it belongs to.  */
+/* Retries the statement on a change of the group, or after WAIT_MS.  Fails it
+   after CALLER_GROUP_WAIT_MS in total.  */
+void caller_wait_for_group (struct caller *caller, const char *why,
+                            clk_ms wait_ms);
+/* Answers the statement with CODE and ends its transaction.  WHY is the error
+   text, and a label of the metrics.  */
 void caller_fail (struct caller *caller, enum code code, const char *why);
-/* The same for one whose outcome is not known.  */
+/* The same for a statement whose outcome is unknown.  CODE is replaced by a
+   more precise one where nothing can have been committed.  */
 void caller_fail_unknown (struct caller *caller, enum code code,
                           const char *why);
 
 /* caller_remote.c */
-/* Whether the statement has to go through another host.  */
+/* Returns whether the statement has to be forwarded to another host.  */
 bool caller_remote_wanted (struct caller *caller);
 void caller_remote_dispatch (struct caller *caller);
-/* Gives up a host that has not answered; false if none was asked.  */
+/* Tries another host if the current one has stopped answering.  Returns false
+   if the statement is not forwarded.  */
 bool caller_remote_slow (struct caller *caller);
-/* Ends what runs or is open at another host.  */
+/* Cancels the forwarded statement and rolls back the transaction at the other
+   host.  */
 void caller_remote_stop (struct caller *caller);
 
 /* caller.c */
-/* Begins a session for statements of another host, on ROUTE.  */
-struct caller *caller_open_guest (struct callers *callers,
-                                  const struct route *route,
-                                  const struct caller_sink *sink);
+/* Opens a session for forwarded statements of another host, on ROUTE.  */
+struct caller *caller_open_forwarded (struct callers *callers,
+                                      const struct route *route,
+                                      const struct caller_sink *sink);
 bool caller_set_value (struct caller *caller, const char *name,
                        const char *text);
 enum code caller_prepare (struct caller *caller, const char *name,
                           enum stmt_kind kind, const char *shape);
 
-/* caller.c: the one answer of the statement.  */
+/* Passes the answer of the statement to the sink.  */
 void caller_finish (struct caller *caller, const struct answer *answer);
 void caller_finish_code (struct caller *caller, enum code code,
                          const char *text);
@@ -185,8 +195,8 @@
 static inline struct caller_metrics *
 caller_metrics_of (const struct caller *caller)
 {
-  return caller->guest ? &caller->callers->guest_metrics
-                       : &caller->callers->metrics;
+  return caller->forwarded ? &caller->callers->forwarded_metrics
+                           : &caller->callers->metrics;
 }
 
 static inline clk_ms
--- a/src/proxy/caller_metrics.c
+++ b/src/proxy/caller_metrics.c
@@ -38,9 +38,9 @@
 
 void
 caller_metrics_init (struct caller_metrics *self, struct metrics *metrics,
-                     bool guests)
+                     bool forwarded)
 {
-  const char *prefix = guests ? "guest_" : "";
+  const char *prefix = forwarded ? "guest_" : "";
   char name[64], labels[64];
   self->metrics = metrics;
   for (enum code code = CODE_OK; code <= CODE_LOST; code++)
--- a/src/proxy/caller_metrics.h
+++ b/src/proxy/caller_metrics.h
@@ -1,7 +1,7 @@
-/* caller_metrics - what callers' statements take, for the metrics address.
+/* caller_metrics - counters and latency histograms of callers' statements.
 
-   Statements of other hosts' sessions are counted apart, under names that
-   begin with "guest_".  */
+   Statements that other hosts forward here have metrics of their own, with
+   the prefix "guest_".  */
 
 #ifndef SAVORYWAY_PROXY_CALLER_METRICS_H
 #define SAVORYWAY_PROXY_CALLER_METRICS_H
@@ -18,18 +18,18 @@
   struct metrics *metrics;
   int64_t *statements[CODE_LOST + 1]; /* by code */
   struct histogram *answer_ms[CALLER_ROUTE_KINDS][CALLER_OUTCOMES];
-  struct histogram *wait_ms[CALLER_ROUTE_KINDS]; /* until it is sent */
-  struct histogram *sample_age_ms;               /* of reads on replicas */
+  struct histogram *wait_ms[CALLER_ROUTE_KINDS]; /* until sent */
+  struct histogram *sample_age_ms;               /* reads on replicas */
 };
 
 void caller_metrics_init (struct caller_metrics *self, struct metrics *metrics,
-                          bool guests);
+                          bool forwarded);
 
-/* A statement was answered with CODE after SPENT_MS.  */
+/* Counts an answer with CODE to a statement that took SPENT_MS.  */
 void caller_metrics_answer (struct caller_metrics *self, enum route_kind kind,
                             enum code code, clk_ms spent_ms);
 
-/* A statement was given up here, for the reason WHY.  */
+/* Counts a statement that this host gave up, with WHY as label.  */
 void caller_metrics_refused (struct caller_metrics *self, const char *why);
 
 #endif
--- a/src/proxy/caller_remote.c
+++ b/src/proxy/caller_remote.c
@@ -8,27 +8,27 @@
 #include "kernel/mutant.h"
 #include "kernel/text.h"
 
-/* The host answers before the statement's own limit, so that its answer,
+/* The host answers before the statement's own timeout, so that its answer,
    which may tell that the statement did not run, comes in time.  */
 #define REMOTE_MARGIN_MS 15
 
 /* After a host refused a new statement, or none is known.  */
-#define REMOTE_WAIT_MS 30
+#define REMOTE_RETRY_MS 30
 
 /* A read is tried at another host after this, unless the one that has it
    answers other statements: then its instances are busy.  */
 #define REMOTE_SLOW_MS 600
 
-/* Time limit of telling a host that a transaction has ended.  */
-#define REMOTE_END_MS 1000
+/* Time timeout of telling a host that a transaction has ended.  */
+#define REMOTE_ROLLBACK_TIMEOUT_MS 1000
 
 /* Hosts that one statement may be tried on.  */
-#define REMOTE_TRIES 3
+#define REMOTE_TRIED_LIMIT 3
 
 /* The primary that this host believes in and can't reach; NULL if there is
    none.  */
 static const char *
-unreached_leader (struct caller *caller)
+unreachable_leader (struct caller *caller)
 {
   struct group *group = caller_group (caller);
   struct backend *leader = group != NULL ? group_leader (group) : NULL;
@@ -44,7 +44,7 @@
   struct run_request *run = &caller->run;
   struct forwarder_query query
       = { .group = run->route.group,
-          .instance = unreached_leader (caller),
+          .instance = unreachable_leader (caller),
           .tried = (const char (*)[NAME_BYTES])run->tried,
           .tried_count = run->tried_count };
   return forwarder_pick (caller->callers->forwarder, &query);
@@ -55,30 +55,30 @@
 {
   const struct run_request *run = &caller->run;
   struct callers *callers = caller->callers;
-  if (caller->guest)
+  if (caller->forwarded)
     return false;
   if (caller->remote.number != 0)
     return true;
   if (!groups_serves (callers->groups, run->route.group))
     return true;
-  return unreached_leader (caller) != NULL && run->tried_count < REMOTE_TRIES
-         && pick (caller) != NULL;
+  return unreachable_leader (caller) != NULL
+         && run->tried_count < REMOTE_TRIED_LIMIT && pick (caller) != NULL;
 }
 
 static void
-forget_number (struct caller *caller)
+clear_number (struct caller *caller)
 {
   caller->remote.number = 0;
 }
 
 /* Whether the host has answered nothing since the statement was sent.  */
 static bool
-is_silent (const struct caller *caller)
+host_unresponsive (const struct caller *caller)
 {
   const struct run_request *run = &caller->run;
   return caller_now (caller) - run->sent_ms >= REMOTE_SLOW_MS
-         && forwarder_heard_ms (caller->callers->forwarder,
-                                caller->remote.host.name)
+         && forwarder_last_answer_ms (caller->callers->forwarder,
+                                      caller->remote.host.name)
                 < run->sent_ms;
 }
 
@@ -87,7 +87,7 @@
 cancel_call (struct caller *caller)
 {
   struct callers *callers = caller->callers;
-  bool failed = is_silent (caller);
+  bool failed = host_unresponsive (caller);
   if (caller->remote.call == 0)
     return;
   hosts_cancel (callers->hosts, caller->remote.call);
@@ -113,19 +113,19 @@
                                              .name = "",
                                              .shape = "",
                                              .rest = "" };
-  hosts_call (callers->hosts, &caller->remote.host, &body, REMOTE_END_MS, NULL,
-              NULL);
-  forget_number (caller);
+  hosts_call (callers->hosts, &caller->remote.host, &body,
+              REMOTE_ROLLBACK_TIMEOUT_MS, NULL, NULL);
+  clear_number (caller);
 }
 
 static void
-take_success (struct caller *caller, const struct answer *answer)
+handle_remote_success (struct caller *caller, const struct answer *answer)
 {
   if (!caller_in_transaction (caller))
-    forget_number (caller);
+    clear_number (caller);
   else if (caller->run.kind == STMT_COMMIT)
     {
-      forget_number (caller);
+      clear_number (caller);
       caller->tx = TX_IDLE;
     }
   else
@@ -136,14 +136,14 @@
 /* The host's code is as true here as there: what it says did not run may be
    tried through another one.  */
 static void
-take_failure (struct caller *caller, const struct answer *answer)
+handle_remote_error (struct caller *caller, const struct answer *answer)
 {
   struct run_request *run = &caller->run;
   bool first = !caller_in_transaction (caller)
                || (!caller->tx_ran && run->kind != STMT_COMMIT);
-  forget_number (caller);
+  clear_number (caller);
   if (first && code_not_run (answer->code) && !caller->overloaded
-      && run->tried_count < REMOTE_TRIES)
+      && run->tried_count < REMOTE_TRIED_LIMIT)
     {
       caller->tx_wrote = false;
       caller_retry (caller, answer->code);
@@ -155,7 +155,7 @@
 }
 
 static void
-take_answer (struct caller *caller, const peer_forwarded *reply)
+handle_remote_answer (struct caller *caller, const peer_forwarded *reply)
 {
   struct position own = { reply->own_term, reply->own_lsn };
   enum code code
@@ -167,7 +167,7 @@
   if (code != CODE_OK)
     {
       answer.text = reply->reason;
-      take_failure (caller, &answer);
+      handle_remote_error (caller, &answer);
       return;
     }
   if (reply->answer.answer_len > 0)
@@ -176,7 +176,7 @@
       answer.body = reply->answer.answer_val;
       answer.body_bytes = reply->answer.answer_len - 1;
     }
-  take_success (caller, &answer);
+  handle_remote_success (caller, &answer);
 }
 
 /* The host did not get the statement, or refused to take it.  */
@@ -188,7 +188,7 @@
       caller_fail (caller, CODE_ABORTED, "the transaction's host is gone");
       return;
     }
-  forget_number (caller);
+  clear_number (caller);
   caller_retry (caller, CODE_BUSY);
 }
 
@@ -214,10 +214,10 @@
   caller->remote.call = 0;
   kernel_timer_cancel (callers->base.kernel, &caller->slow);
   if (status == PEER_OK)
-    forwarder_heard (callers->forwarder, caller->remote.host.name);
+    forwarder_note_answer (callers->forwarder, caller->remote.host.name);
   forwarder_end (callers->forwarder, caller->remote.host.name, !answered);
   if (answered)
-    take_answer (caller, &reply->body.peer_body_u.forwarded);
+    handle_remote_answer (caller, &reply->body.peer_body_u.forwarded);
   else if (status == PEER_OK || status == PEER_UNREACHABLE)
     not_delivered (caller);
   else
@@ -231,7 +231,7 @@
   struct kernel *kernel = caller->callers->base.kernel;
   if (caller->remote.call == 0)
     return false;
-  if (!is_silent (caller))
+  if (!host_unresponsive (caller))
     {
       kernel_timer_set (kernel, &caller->slow,
                         kernel_now (kernel) + REMOTE_SLOW_MS);
@@ -327,12 +327,12 @@
       return;
     }
   const struct other_host *host
-      = run->tried_count < REMOTE_TRIES ? pick (caller) : NULL;
+      = run->tried_count < REMOTE_TRIED_LIMIT ? pick (caller) : NULL;
   if (host == NULL || !hosts_ready (callers->hosts))
     {
       /* Those that failed may be back.  */
       run->tried_count = 0;
-      caller_hold (caller, "no host to forward to", REMOTE_WAIT_MS);
+      caller_wait_for_group (caller, "no host to forward to", REMOTE_RETRY_MS);
       return;
     }
   run->attempts++;
--- a/src/proxy/caller_run.c
+++ b/src/proxy/caller_run.c
@@ -1,5 +1,5 @@
-/* Runs one statement of a session on an instance, and tries again elsewhere
-   what certainly did not run or may be repeated.  */
+/* Runs one statement of a session on an instance, and tries retry_timer
+   elsewhere what certainly did not run or may be repeated.  */
 
 #include "proxy/caller_impl.h"
 
@@ -29,7 +29,7 @@
   return caller_in_transaction (caller) && !caller->tx_read_only;
 }
 
-/* Whether the statement alone can be run again after it may have run.  */
+/* Whether the statement alone can be run retry_timer after it may have run. */
 bool
 caller_is_repeatable (const struct caller *caller)
 {
@@ -42,8 +42,8 @@
   struct kernel *kernel = caller_kernel (caller);
   backend_cancel (&caller->user);
   group_cancel (&caller->waiter);
-  kernel_timer_cancel (kernel, &caller->again);
-  kernel_timer_cancel (kernel, &caller->deadline);
+  kernel_timer_cancel (kernel, &caller->retry_timer);
+  kernel_timer_cancel (kernel, &caller->deadline_timer);
   kernel_timer_cancel (kernel, &caller->slow);
   caller_remote_stop (caller);
   caller_drop_conn (caller);
@@ -63,14 +63,14 @@
 static void
 hold (struct caller *caller, const char *why)
 {
-  caller_hold (caller, why, CALLER_HOLD_MS);
+  caller_wait_for_group (caller, why, CALLER_GROUP_WAIT_MS);
 }
 
 static void
 mark_tried (struct caller *caller, const struct backend *backend)
 {
   struct run_request *run = &caller->run;
-  if (run->tried_count == CALLER_TRIES)
+  if (run->tried_count == CALLER_TRIED_LIMIT)
     return;
   text_copy (run->tried[run->tried_count++], NAME_BYTES,
              backend_entry (backend)->id);
@@ -91,7 +91,7 @@
   if (conn != NULL)
     run_on (caller, conn);
   else
-    caller_queue_up (caller);
+    caller_enter_queue (caller);
 }
 
 static void
@@ -100,8 +100,8 @@
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
   struct backend *leader = group != NULL ? group_leader (group) : NULL;
-  run->has_floor = false;
-  run->proves = !caller_in_transaction (caller) && !run->writes;
+  run->has_min_position = false;
+  run->confirms_leader = !caller_in_transaction (caller) && !run->writes;
   if (leader == NULL || !backend_usable (leader))
     {
       hold (caller, "no primary");
@@ -113,7 +113,7 @@
 /* Sets what position a read must see; returns false if no sample covers
    it.  */
 static bool
-find_floor (struct caller *caller, const struct group *group)
+set_min_position (struct caller *caller, const struct group *group)
 {
   struct run_request *run = &caller->run;
   clk_ms since_ms
@@ -124,24 +124,25 @@
      this session.  */
   if (run->route.kind == ROUTE_SESSION && caller->opened_ms > not_before_ms)
     not_before_ms = caller->opened_ms;
-  if (!samples_floor (group_samples (group), not_before_ms, &run->floor))
+  if (!samples_floor (group_samples (group), not_before_ms,
+                      &run->min_position))
     return false;
-  if (position_compare (caller->own, run->floor) > 0
+  if (position_compare (caller->own, run->min_position) > 0
       && !MUTANT (forget_own_commit))
-    run->floor = caller->own;
-  run->has_floor = true;
+    run->min_position = caller->own;
+  run->has_min_position = true;
   return true;
 }
 
 /* After all instances lacked the position: it may be one that a promotion
    rolled back, which the newest sample covers.  */
 static void
-raise_floor (struct caller *caller, struct group *group)
+raise_min_position (struct caller *caller, struct group *group)
 {
   struct run_request *run = &caller->run;
   struct position newest = samples_newest (group_samples (group));
-  if (newest.term > run->floor.term)
-    run->floor = newest;
+  if (newest.term > run->min_position.term)
+    run->min_position = newest;
   run->tried_count = 0;
 }
 
@@ -150,45 +151,45 @@
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
-  run->proves = false;
+  run->confirms_leader = false;
   if (group == NULL)
     {
       hold (caller, "no instance");
       return;
     }
-  if (!run->has_floor && !find_floor (caller, group))
+  if (!run->has_min_position && !set_min_position (caller, group))
     {
       group_sample (group);
       hold (caller, "no recent position");
       return;
     }
   struct backend *backend
-      = group_pick (group, run->floor, (const char (*)[NAME_BYTES])run->tried,
-                    run->tried_count);
+      = group_pick (group, run->min_position,
+                    (const char (*)[NAME_BYTES])run->tried, run->tried_count);
   if (backend != NULL)
     {
       connect_to (caller, backend);
       return;
     }
-  if (run->attempts >= 2 * CALLER_TRIES)
+  if (run->attempts >= 2 * CALLER_TRIED_LIMIT)
     {
       caller_fail (caller, caller_refusal (caller),
                    "no instance can serve it");
       return;
     }
-  if (!caller_queue_up (caller))
+  if (!caller_enter_queue (caller))
     return;
   run->attempts++;
-  raise_floor (caller, group);
+  raise_min_position (caller, group);
   group_await (group, &caller->waiter);
-  caller_wait (caller, CALLER_BUSY_WAIT_MS);
+  caller_wait (caller, CALLER_BUSY_BACKOFF_MS);
 }
 
 static void
 dispatch (struct caller *caller)
 {
   group_cancel (&caller->waiter);
-  kernel_timer_cancel (caller_kernel (caller), &caller->again);
+  kernel_timer_cancel (caller_kernel (caller), &caller->retry_timer);
   if (caller->conn != NULL)
     run_on (caller, caller->conn);
   else if (caller_remote_wanted (caller))
@@ -207,7 +208,7 @@
   const struct group *group = caller_group (caller);
   histogram_note (metrics->wait_ms[run->route.kind],
                   run->sent_ms - run->arrived_ms);
-  if (run->has_floor && group != NULL)
+  if (run->has_min_position && group != NULL)
     histogram_note (metrics->sample_age_ms,
                     run->sent_ms - samples_newest_ms (group_samples (group)));
 }
@@ -227,21 +228,23 @@
       statement.rest = run->rest;
       statement.text = NULL;
     }
-  bool use_floor = run->has_floor && !caller_in_transaction (caller)
-                   && !MUTANT (ignore_position);
+  bool send_min_position = run->has_min_position
+                           && !caller_in_transaction (caller)
+                           && !MUTANT (ignore_position);
   run->stage = RUN_SENT;
   run->sent_ms = caller_now (caller);
   note_sent (caller);
   if (run->writes && caller_in_transaction (caller))
     caller->tx_wrote = true;
-  conn_send (conn, STEP_MAIN, &statement, use_floor ? &run->floor : NULL);
-  if (run->proves)
+  conn_send (conn, STEP_MAIN, &statement,
+             send_min_position ? &run->min_position : NULL);
+  if (run->confirms_leader)
     conn_send (conn, STEP_END, &(struct statement){ .kind = STMT_ROLLBACK },
                NULL);
   if (caller_is_repeatable (caller))
     {
       double usual_ms = backend_typical_ms (conn_backend (conn));
-      clk_ms slow_ms = (clk_ms)(CALLER_SLOW_RATIO * usual_ms);
+      clk_ms slow_ms = (clk_ms)(CALLER_SLOW_FACTOR * usual_ms);
       caller_set_timer (caller, &caller->slow,
                         slow_ms > CALLER_SLOW_MS ? slow_ms : CALLER_SLOW_MS);
     }
@@ -256,7 +259,7 @@
   conn_send (
       caller->conn, STEP_BEGIN,
       &(struct statement){ .kind = plain ? STMT_BEGIN : STMT_BEGIN_READ },
-      plain ? NULL : &run->floor);
+      plain ? NULL : &run->min_position);
 }
 
 /* Brings CONN to where the statement can be sent, and sends it.  */
@@ -268,7 +271,7 @@
   caller->conn = conn;
   run->stage = RUN_SETTING_UP;
   conn_set_up (conn, &caller->values, run->prepared_kind, run->shape);
-  run->begins = opens || run->proves;
+  run->begins = opens || run->confirms_leader;
   if (run->begins)
     send_begin (caller);
   if (conn_outstanding (conn) == 0)
@@ -283,7 +286,7 @@
 
 /* Goes on after the instance refused BEGIN or a set-up step.  */
 static void
-set_up_refused (struct caller *caller, const struct answer *answer)
+handle_set_up_error (struct caller *caller, const struct answer *answer)
 {
   struct backend *backend = conn_backend (caller->conn);
   struct group *group = caller_group (caller);
@@ -300,8 +303,8 @@
 
 /* Learns from a statement that succeeded.  */
 static void
-learn (struct caller *caller, struct backend *backend,
-       const struct answer *answer)
+record_position (struct caller *caller, struct backend *backend,
+                 const struct answer *answer)
 {
   const struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
@@ -310,23 +313,24 @@
                      : run->writes && !caller_in_transaction (caller);
   /* An instance that lost the lead refuses statements of a plain
      transaction, and writes.  */
-  bool proves = commits || run->proves
-                || (caller_in_transaction (caller) && !caller->tx_read_only
-                    && run->kind != STMT_COMMIT);
+  bool confirms_leader
+      = commits || run->confirms_leader
+        || (caller_in_transaction (caller) && !caller->tx_read_only
+            && run->kind != STMT_COMMIT);
   if (!answer->has_position || group == NULL)
     return;
   if (commits && position_compare (answer->position, caller->own) > 0)
     caller->own = answer->position;
-  if (proves)
+  if (confirms_leader)
     group_proven (group, backend, answer->position, run->sent_ms);
 }
 
 static void
-main_succeeded (struct caller *caller, struct backend *backend,
+handle_success (struct caller *caller, struct backend *backend,
                 const struct answer *answer)
 {
   struct group *group = caller_group (caller);
-  learn (caller, backend, answer);
+  record_position (caller, backend, answer);
   if (group != NULL)
     admission_note_ran (group_admission (group, caller_needs_leader (caller)),
                         caller_now (caller));
@@ -344,17 +348,17 @@
 
 /* A statement of a transaction that an instance answered with an error.  */
 static void
-tx_failed (struct caller *caller, const struct answer *answer)
+handle_tx_error (struct caller *caller, const struct answer *answer)
 {
   struct run_request *run = &caller->run;
   if (answer->state == TX_OPEN && answer->code == CODE_BUSY)
     {
       /* The transaction stands and the statement did not run.  */
       run->refusal = CODE_BUSY;
-      if (!caller_queue_up (caller))
+      if (!caller_enter_queue (caller))
         return;
       run->attempts++;
-      caller_wait (caller, CALLER_BUSY_WAIT_MS * (clk_ms)run->attempts);
+      caller_wait (caller, CALLER_BUSY_BACKOFF_MS * (clk_ms)run->attempts);
       return;
     }
   bool first = !caller->tx_ran && run->kind != STMT_COMMIT;
@@ -378,8 +382,8 @@
 }
 
 static void
-main_failed (struct caller *caller, struct backend *backend,
-             const struct answer *answer)
+handle_error (struct caller *caller, struct backend *backend,
+              const struct answer *answer)
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
@@ -390,18 +394,18 @@
     group_refuted (group, backend);
   if (caller_in_transaction (caller))
     {
-      tx_failed (caller, answer);
+      handle_tx_error (caller, answer);
       return;
     }
   caller_drop_conn (caller);
   run->refusal = code;
   if (code == CODE_BUSY && caller_needs_leader (caller)
-      && !caller_queue_up (caller))
+      && !caller_enter_queue (caller))
     return;
   if (code_not_run (code)
       || (caller_is_repeatable (caller)
           && (code == CODE_FAILED || code == CODE_TIMEOUT)
-          && run->tried_count < CALLER_TRIES))
+          && run->tried_count < CALLER_TRIED_LIMIT))
     caller_retry (caller, code);
   else
     caller_finish (caller, answer);
@@ -420,7 +424,8 @@
   if (group_covers (group, backend, answer->position))
     return true;
   caller_drop_conn (caller);
-  caller_hold (caller, "the primary is catching up", CALLER_CATCH_UP_MS);
+  caller_wait_for_group (caller, "the primary is catching up",
+                         CALLER_CATCH_UP_RETRY_MS);
   return false;
 }
 
@@ -439,9 +444,9 @@
       backend_note_latency (backend, caller_now (caller) - run->sent_ms,
                             answer->code == CODE_BUSY);
       if (answer->code == CODE_OK)
-        main_succeeded (caller, backend, answer);
+        handle_success (caller, backend, answer);
       else
-        main_failed (caller, backend, answer);
+        handle_error (caller, backend, answer);
       return;
     }
   if (run->stage != RUN_SETTING_UP)
@@ -451,13 +456,13 @@
         {
           caller_drop_conn (caller);
           caller->tx = TX_FAILED;
-          caller->tx_untold = true;
+          caller->tx_failure_unreported = true;
         }
       return;
     }
   if (answer->code != CODE_OK)
     {
-      set_up_refused (caller, answer);
+      handle_set_up_error (caller, answer);
       return;
     }
   if (step == STEP_BEGIN && caller_needs_leader (caller)
@@ -482,7 +487,7 @@
       if (run->stage == RUN_NONE)
         {
           caller->tx = TX_FAILED;
-          caller->tx_untold = true;
+          caller->tx_failure_unreported = true;
         }
       else
         caller_fail (caller, CODE_ABORTED, "connection lost");
@@ -503,18 +508,18 @@
     = { .granted = on_granted, .answered = on_answered, .lost = on_lost };
 
 static void
-on_again (void *arg)
+on_retry_timer (void *arg)
 {
   dispatch (arg);
 }
 
 static void
-on_wake (struct group_waiter *waiter)
+on_group_change (struct group_waiter *waiter)
 {
   struct caller *caller
       = (struct caller *)(void *)((char *)waiter
                                   - offsetof (struct caller, waiter));
-  caller_set_timer (caller, &caller->again, 0);
+  caller_set_timer (caller, &caller->retry_timer, 0);
 }
 
 /* Gives up waiting for a read and tries another instance.  */
@@ -532,9 +537,11 @@
 caller_run_init (struct caller *caller)
 {
   caller->user.ops = &user_ops;
-  caller->waiter.wake = on_wake;
-  caller->again = (struct ktimer){ .fire = on_again, .arg = caller };
-  caller->deadline = (struct ktimer){ .fire = on_deadline, .arg = caller };
+  caller->waiter.wake = on_group_change;
+  caller->retry_timer
+      = (struct ktimer){ .fire = on_retry_timer, .arg = caller };
+  caller->deadline_timer
+      = (struct ktimer){ .fire = on_deadline, .arg = caller };
   caller->slow = (struct ktimer){ .fire = on_slow, .arg = caller };
 }
 
@@ -543,7 +550,7 @@
 {
   struct run_request *run = &caller->run;
   const struct route *route
-      = caller_in_transaction (caller) || caller->guest
+      = caller_in_transaction (caller) || caller->forwarded
             ? &caller->tx_route
             : catalog_route (caller->callers->catalog, caller->database);
   if (route == NULL)
@@ -552,6 +559,6 @@
       return;
     }
   run->route = *route;
-  caller_set_timer (caller, &caller->deadline, route->timeout_ms);
+  caller_set_timer (caller, &caller->deadline_timer, route->timeout_ms);
   dispatch (caller);
 }
--- a/src/proxy/caller_wait.c
+++ b/src/proxy/caller_wait.c
@@ -1,4 +1,5 @@
-/* How the statement of a session waits, is tried again, or is given up.  */
+/* How the statement of a session waits, is tried retry_timer, or is given up.
+ */
 
 #include "proxy/caller_impl.h"
 
@@ -64,7 +65,7 @@
    statement would not be served in time: then it has been refused.
    Transactions that have run already wait in any case.  */
 bool
-caller_queue_up (struct caller *caller)
+caller_enter_queue (struct caller *caller)
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
@@ -92,11 +93,11 @@
 caller_wait (struct caller *caller, clk_ms span_ms)
 {
   caller->run.stage = RUN_WAITING;
-  caller_set_timer (caller, &caller->again, span_ms);
+  caller_set_timer (caller, &caller->retry_timer, span_ms);
 }
 
 static void
-log_hold (struct caller *caller, const char *why)
+log_group_wait (struct caller *caller, const char *why)
 {
   struct group *group = caller_group (caller);
   struct backend *leader = group != NULL ? group_leader (group) : NULL;
@@ -113,22 +114,22 @@
 }
 
 void
-caller_hold (struct caller *caller, const char *why, clk_ms wait_ms)
+caller_wait_for_group (struct caller *caller, const char *why, clk_ms wait_ms)
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
   clk_ms now_ms = caller_now (caller);
-  if (caller->guest && !caller->may_wait)
+  if (caller->forwarded && !caller->may_wait)
     {
       caller_fail (caller, caller_refusal (caller), why);
       return;
     }
-  if (run->held_since_ms == CLK_NEVER)
+  if (run->group_wait_since_ms == CLK_NEVER)
     {
-      run->held_since_ms = now_ms;
-      log_hold (caller, why);
+      run->group_wait_since_ms = now_ms;
+      log_group_wait (caller, why);
     }
-  clk_ms left_ms = run->held_since_ms + CALLER_HOLD_MS - now_ms;
+  clk_ms left_ms = run->group_wait_since_ms + CALLER_GROUP_WAIT_MS - now_ms;
   if (groups_cut_off (caller->callers->groups))
     {
       caller_fail (caller, caller_refusal (caller), "this host is cut off");
@@ -155,13 +156,13 @@
              LOG_S ("instance", run->instance),
              LOG_U ("attempts", run->attempts),
              LOG_I ("spent_ms", kernel_now (kernel) - run->arrived_ms));
-  if (run->attempts > 3 * CALLER_TRIES)
+  if (run->attempts > 3 * CALLER_TRIED_LIMIT)
     {
       caller_fail (caller, caller_refusal (caller), "refused too often");
       return;
     }
   clk_ms wait_ms = 0;
   if (code == CODE_BUSY && caller_needs_leader (caller))
-    wait_ms = CALLER_BUSY_WAIT_MS * (clk_ms)run->attempts;
+    wait_ms = CALLER_BUSY_BACKOFF_MS * (clk_ms)run->attempts;
   caller_wait (caller, wait_ms);
 }
--- a/src/proxy/forwarder.c
+++ b/src/proxy/forwarder.c
@@ -11,12 +11,12 @@
 #include "proxy/roster.h"
 
 /* A host that statements were forwarded to.  */
-struct peer_load
+struct host_load
 {
   char host[NAME_BYTES];
   uint32_t outstanding;
   clk_ms down_until_ms;
-  clk_ms heard_ms;
+  clk_ms last_answer_ms;
   UT_hash_handle hh;
 };
 
@@ -26,13 +26,13 @@
   struct hosts *hosts;
   struct placement *placement;
   struct roster *roster;
-  struct peer_load *loads;
+  struct host_load *loads;
 };
 
-static struct peer_load *
+static struct host_load *
 find_load (const struct forwarder *forwarder, const char *host)
 {
-  struct peer_load *load;
+  struct host_load *load;
   HASH_FIND_STR (forwarder->loads, host, load);
   return load;
 }
@@ -40,10 +40,10 @@
 /* Forgets hosts that are idle and were not found wanting, so that hosts that
    were replaced don't add up.  */
 static void
-drop_idle (struct forwarder *forwarder)
+drop_idle_loads (struct forwarder *forwarder)
 {
   clk_ms now_ms = kernel_now (forwarder->base.kernel);
-  struct peer_load *load, *next;
+  struct host_load *load, *next;
   HASH_ITER (hh, forwarder->loads, load, next)
   {
     if (load->outstanding > 0 || load->down_until_ms > now_ms)
@@ -53,18 +53,18 @@
   }
 }
 
-static struct peer_load *
+static struct host_load *
 ensure_load (struct forwarder *forwarder, const char *host)
 {
-  struct peer_load *load = find_load (forwarder, host);
+  struct host_load *load = find_load (forwarder, host);
   if (load != NULL)
     return load;
   size_t hosts;
   hosts_list (forwarder->hosts, &hosts);
   if (HASH_COUNT (forwarder->loads) > 2 * hosts + 1)
-    drop_idle (forwarder);
+    drop_idle_loads (forwarder);
   load = mem_zalloc (sizeof *load);
-  load->heard_ms = CLK_LONG_AGO;
+  load->last_answer_ms = CLK_LONG_AGO;
   text_copy (load->host, sizeof load->host, host);
   HASH_ADD_STR (forwarder->loads, host, load);
   return load;
@@ -79,29 +79,29 @@
 void
 forwarder_end (struct forwarder *forwarder, const char *host, bool failed)
 {
-  struct peer_load *load = ensure_load (forwarder, host);
+  struct host_load *load = ensure_load (forwarder, host);
   if (load->outstanding > 0)
     load->outstanding--;
   if (!failed)
     return;
   struct kernel *kernel = forwarder->base.kernel;
-  load->down_until_ms = kernel_now (kernel) + FORWARDER_DOWN_MS;
+  load->down_until_ms = kernel_now (kernel) + FORWARDER_RETRY_MS;
   log_event (kernel_log (kernel), LOG_INFO, "host_unreachable",
              LOG_S ("host", host));
 }
 
 void
-forwarder_heard (struct forwarder *forwarder, const char *host)
+forwarder_note_answer (struct forwarder *forwarder, const char *host)
 {
-  ensure_load (forwarder, host)->heard_ms
+  ensure_load (forwarder, host)->last_answer_ms
       = kernel_now (forwarder->base.kernel);
 }
 
 clk_ms
-forwarder_heard_ms (const struct forwarder *forwarder, const char *host)
+forwarder_last_answer_ms (const struct forwarder *forwarder, const char *host)
 {
-  const struct peer_load *load = find_load (forwarder, host);
-  return load != NULL ? load->heard_ms : CLK_LONG_AGO;
+  const struct host_load *load = find_load (forwarder, host);
+  return load != NULL ? load->last_answer_ms : CLK_LONG_AGO;
 }
 
 static bool
@@ -120,7 +120,7 @@
 {
   const char *name = host->address.name;
   struct kernel *kernel = forwarder->base.kernel;
-  const struct peer_load *load = find_load (forwarder, name);
+  const struct host_load *load = find_load (forwarder, name);
   double cost = 0;
   if (was_tried (query, name))
     return -1;
@@ -171,7 +171,7 @@
 forwarder_free (struct module *module)
 {
   struct forwarder *forwarder = (struct forwarder *)module;
-  struct peer_load *load, *next;
+  struct host_load *load, *next;
   HASH_ITER (hh, forwarder->loads, load, next)
   {
     HASH_DEL (forwarder->loads, load);
--- a/src/proxy/forwarder.h
+++ b/src/proxy/forwarder.h
@@ -2,7 +2,7 @@
 
    Prefers hosts of the own failure domain, and among them the one with the
    fewest statements of this host.  One that failed is not asked for
-   FORWARDER_DOWN_MS.
+   FORWARDER_RETRY_MS.
 
    Module name: "forwarder".  */
 
@@ -12,7 +12,7 @@
 #include "kernel/kernel.h"
 #include "proxy/hosts.h"
 
-#define FORWARDER_DOWN_MS 1000
+#define FORWARDER_RETRY_MS 1000
 
 /* A host in another failure domain counts as if it had so many statements
    more.  */
@@ -44,10 +44,10 @@
                     bool failed);
 
 /* Notes an answer of HOST.  */
-void forwarder_heard (struct forwarder *forwarder, const char *host);
+void forwarder_note_answer (struct forwarder *forwarder, const char *host);
 
 /* When HOST last answered; CLK_LONG_AGO if it is not known.  */
-clk_ms forwarder_heard_ms (const struct forwarder *forwarder,
-                           const char *host);
+clk_ms forwarder_last_answer_ms (const struct forwarder *forwarder,
+                                 const char *host);
 
 #endif
--- a/src/proxy/guests.c
+++ b/src/proxy/guests.c
@@ -11,16 +11,16 @@
 #include "proxy/caller_impl.h"
 #include "proxy/hosts.h"
 
-struct guest
+struct forwarded_session
 {
-  struct guests *guests;
+  struct guests *owner;
   uint64_t number; /* chosen by the sender */
   bool in_transaction;
   uint64_t call; /* to be answered; 0 between statements */
   struct caller *caller;
   struct ktimer end;
-  struct guest *prev;
-  struct guest *next;
+  struct forwarded_session *prev;
+  struct forwarded_session *next;
 };
 
 struct guests
@@ -29,25 +29,25 @@
   struct hosts *hosts;
   struct callers *callers;
   struct catalog *catalog;
-  struct guest *list;
+  struct forwarded_session *list;
   size_t count;
-  bool refuses;
+  bool stopped; /* accepts no new session */
 };
 
 static void
-reply (struct guest *guest, const peer_forwarded *forwarded)
+reply (struct forwarded_session *session, const peer_forwarded *forwarded)
 {
   peer_body body
       = { .kind = PEER_KIND_FORWARDED, .peer_body_u.forwarded = *forwarded };
-  uint64_t call = guest->call;
-  guest->call = 0;
-  hosts_reply (guest->guests->hosts, call, &body);
+  uint64_t call = session->call;
+  session->call = 0;
+  hosts_reply (session->owner->hosts, call, &body);
 }
 
 static void
-reply_answer (struct guest *guest, const struct answer *answer)
+reply_answer (struct forwarded_session *session, const struct answer *answer)
 {
-  const struct caller *caller = guest->caller;
+  const struct caller *caller = session->caller;
   peer_forwarded forwarded = {
     .code = (u_int)answer->code,
     .overloaded = caller->overloaded,
@@ -60,90 +60,91 @@
     .own_term = caller->own.term,
     .own_lsn = caller->own.lsn,
   };
-  reply (guest, &forwarded);
+  reply (session, &forwarded);
 }
 
 static void
-guest_free (struct guest *guest)
+forwarded_session_free (struct forwarded_session *session)
 {
-  struct guests *guests = guest->guests;
+  struct guests *sessions = session->owner;
   peer_forwarded unknown = { .code = CODE_INDOUBT,
                              .reason = "ended while it ran",
                              .instance = "" };
-  if (guest->call != 0)
-    reply (guest, &unknown);
-  kernel_timer_cancel (guests->base.kernel, &guest->end);
-  caller_close (guest->caller);
-  DL_DELETE (guests->list, guest);
-  guests->count--;
-  free (guest);
+  if (session->call != 0)
+    reply (session, &unknown);
+  kernel_timer_cancel (sessions->base.kernel, &session->end);
+  caller_close (session->caller);
+  DL_DELETE (sessions->list, session);
+  sessions->count--;
+  free (session);
 }
 
 static void
 on_end (void *arg)
 {
-  guest_free (arg);
+  forwarded_session_free (arg);
 }
 
 /* Ends GUEST from the loop, or once it has been idle for too long.  */
 static void
-arm_end (struct guest *guest, bool at_once)
+schedule_end (struct forwarded_session *session, bool at_once)
 {
-  struct guests *guests = guest->guests;
-  struct kernel *kernel = guests->base.kernel;
-  clk_ms idle_ms = catalog_config (guests->catalog)->tx_idle_ms;
-  clk_ms span_ms
-      = idle_ms > 0 ? idle_ms + GUESTS_IDLE_MARGIN_MS : GUESTS_IDLE_DEFAULT_MS;
-  kernel_timer_set (kernel, &guest->end,
+  struct guests *sessions = session->owner;
+  struct kernel *kernel = sessions->base.kernel;
+  clk_ms idle_ms = catalog_config (sessions->catalog)->tx_idle_ms;
+  clk_ms span_ms = idle_ms > 0 ? idle_ms + GUESTS_IDLE_MARGIN_MS
+                               : FORWARDED_IDLE_DEFAULT_MS;
+  kernel_timer_set (kernel, &session->end,
                     kernel_now (kernel) + (at_once ? 0 : span_ms));
 }
 
 static void
 on_answer (void *arg, const struct answer *answer)
 {
-  struct guest *guest = arg;
-  reply_answer (guest, answer);
-  arm_end (guest, !guest->in_transaction || answer->state != TX_OPEN);
+  struct forwarded_session *session = arg;
+  reply_answer (session, answer);
+  schedule_end (session, !session->in_transaction || answer->state != TX_OPEN);
 }
 
 static void
-refuse (struct guests *guests, uint64_t call)
+refuse (struct guests *sessions, uint64_t call)
 {
-  hosts_reply (guests->hosts, call, &(peer_body){ .kind = PEER_KIND_REFUSED });
+  hosts_reply (sessions->hosts, call,
+               &(peer_body){ .kind = PEER_KIND_REFUSED });
 }
 
 /* Answers a statement of a transaction that is not open here, or the end of
    what has ended.  */
 static void
-reply_unknown (struct guests *guests, uint64_t call, bool rollback)
+reply_ended (struct guests *sessions, uint64_t call, bool rollback)
 {
   peer_body body = { .kind = PEER_KIND_FORWARDED };
   body.peer_body_u.forwarded
       = (peer_forwarded){ .code = rollback ? CODE_OK : CODE_ABORTED,
                           .reason = "the transaction was ended",
                           .instance = "" };
-  hosts_reply (guests->hosts, call, &body);
+  hosts_reply (sessions->hosts, call, &body);
 }
 
-static struct guest *
-find_guest (const struct guests *guests, uint64_t number)
+static struct forwarded_session *
+find_session (const struct guests *sessions, uint64_t number)
 {
-  struct guest *guest;
-  DL_FOREACH (guests->list, guest)
+  struct forwarded_session *session;
+  DL_FOREACH (sessions->list, session)
   {
-    if (guest->number == number)
-      return guest;
+    if (session->number == number)
+      return session;
   }
   return NULL;
 }
 
 /* Returns NULL if a name of the request does not fit.  */
-static struct guest *
-open_guest (struct guests *guests, const peer_forward *request)
+static struct forwarded_session *
+open_session (struct guests *sessions, const peer_forward *request)
 {
-  clk_ms now_ms = kernel_now (guests->base.kernel);
-  struct guest *guest = mem_zalloc (sizeof *guest);
-  struct caller_sink sink = { .answer = on_answer, .arg = guest };
+  clk_ms now_ms = kernel_now (sessions->base.kernel);
+  struct forwarded_session *session = mem_zalloc (sizeof *session);
+  struct caller_sink sink = { .answer = on_answer, .arg = session };
   struct route route = { .kind = (enum route_kind)request->route_kind,
                          .timeout_ms = request->timeout_ms,
                          .target_ms = request->target_ms,
@@ -153,10 +154,11 @@
       || !text_copy (route.database, NAME_BYTES, request->database)
       || !text_copy (route.group, NAME_BYTES, request->group))
     {
-      free (guest);
+      free (session);
       return NULL;
     }
-  struct caller *caller = caller_open_guest (guests->callers, &route, &sink);
+  struct caller *caller
+      = caller_open_forwarded (sessions->callers, &route, &sink);
   caller->opened_ms = now_ms - request->session_age_ms;
   caller->may_wait = request->may_wait;
   if (request->begins)
@@ -165,20 +167,20 @@
       caller->tx_read_only = request->read_only;
       caller->tx_begun_ms = now_ms - request->transaction_age_ms;
     }
-  guest->guests = guests;
-  guest->caller = caller;
-  guest->number = request->number;
-  guest->in_transaction = request->in_transaction;
-  guest->end = (struct ktimer){ .fire = on_end, .arg = guest };
-  DL_APPEND (guests->list, guest);
-  guests->count++;
-  return guest;
+  session->owner = sessions;
+  session->caller = caller;
+  session->number = request->number;
+  session->in_transaction = request->in_transaction;
+  session->end = (struct ktimer){ .fire = on_end, .arg = session };
+  DL_APPEND (sessions->list, session);
+  sessions->count++;
+  return session;
 }
 
 /* Brings the session to the sender's state.  Returns false if it can't be
    had.  */
 static bool
-set_session (struct caller *caller, const peer_forward *request)
+apply_session_state (struct caller *caller, const peer_forward *request)
 {
   struct position own = { request->own_term, request->own_lsn };
   if (position_compare (own, caller->own) > 0)
@@ -212,111 +214,113 @@
 }
 
 static void
-run (struct guest *guest, uint64_t call, const peer_forward *request)
+run (struct forwarded_session *session, uint64_t call,
+     const peer_forward *request)
 {
   struct statement statement = { .kind = (enum stmt_kind)request->kind,
                                  .id = request->id,
                                  .text = text_or_null (request->text),
                                  .name = text_or_null (request->name),
                                  .rest = request->rest };
-  kernel_timer_cancel (guest->guests->base.kernel, &guest->end);
-  guest->call = call;
-  caller_submit (guest->caller, &statement);
+  kernel_timer_cancel (session->owner->base.kernel, &session->end);
+  session->call = call;
+  caller_submit (session->caller, &statement);
 }
 
 /* A statement of a transaction that is open here.  */
 static void
-go_on (struct guest *guest, uint64_t call, const peer_forward *request)
+continue_transaction (struct forwarded_session *session, uint64_t call,
+                      const peer_forward *request)
 {
-  struct guests *guests = guest->guests;
+  struct guests *sessions = session->owner;
   if (request->kind == STMT_ROLLBACK)
     {
-      guest_free (guest);
-      reply_unknown (guests, call, true);
+      forwarded_session_free (session);
+      reply_ended (sessions, call, true);
     }
-  else if (guest->call != 0 || !may_run (request)
-           || !set_session (guest->caller, request))
-    refuse (guests, call);
+  else if (session->call != 0 || !may_run (request)
+           || !apply_session_state (session->caller, request))
+    refuse (sessions, call);
   else
-    run (guest, call, request);
+    run (session, call, request);
 }
 
 static void
 on_forward (void *arg, uint64_t call, const peer_message *message)
 {
-  struct guests *guests = arg;
+  struct guests *sessions = arg;
   const peer_forward *request = &message->body.peer_body_u.forward;
-  struct guest *guest = find_guest (guests, request->number);
-  if (guest != NULL)
+  struct forwarded_session *session = find_session (sessions, request->number);
+  if (session != NULL)
     {
-      go_on (guest, call, request);
+      continue_transaction (session, call, request);
       return;
     }
   if (request->in_transaction && !request->begins
       && !MUTANT (run_unknown_transaction))
     {
-      reply_unknown (guests, call, request->kind == STMT_ROLLBACK);
+      reply_ended (sessions, call, request->kind == STMT_ROLLBACK);
       return;
     }
-  if (!guests->refuses && may_run (request))
-    guest = open_guest (guests, request);
-  if (guest == NULL)
-    refuse (guests, call);
-  else if (!set_session (guest->caller, request))
+  if (!sessions->stopped && may_run (request))
+    session = open_session (sessions, request);
+  if (session == NULL)
+    refuse (sessions, call);
+  else if (!apply_session_state (session->caller, request))
     {
-      guest_free (guest);
-      refuse (guests, call);
+      forwarded_session_free (session);
+      refuse (sessions, call);
     }
   else
-    run (guest, call, request);
+    run (session, call, request);
 }
 
 size_t
-guests_count (const struct guests *guests)
+guests_count (const struct guests *sessions)
 {
-  return guests->count;
+  return sessions->count;
 }
 
 void
-guests_refuse (struct guests *guests)
+guests_refuse (struct guests *sessions)
 {
-  guests->refuses = true;
+  sessions->stopped = true;
 }
 
 static void
-guests_start (struct module *module)
+forwarded_sessions_start (struct module *module)
 {
-  struct guests *guests = (struct guests *)module;
+  struct guests *sessions = (struct guests *)module;
   struct kernel *kernel = module->kernel;
-  guests->hosts = (struct hosts *)kernel_find (kernel, "hosts");
-  guests->callers = (struct callers *)kernel_find (kernel, "callers");
-  guests->catalog = (struct catalog *)kernel_find (kernel, "catalog");
-  hosts_handle (guests->hosts, PEER_KIND_FORWARD, on_forward, guests);
+  sessions->hosts = (struct hosts *)kernel_find (kernel, "hosts");
+  sessions->callers = (struct callers *)kernel_find (kernel, "callers");
+  sessions->catalog = (struct catalog *)kernel_find (kernel, "catalog");
+  hosts_handle (sessions->hosts, PEER_KIND_FORWARD, on_forward, sessions);
 }
 
 static void
-guests_free (struct module *module)
+forwarded_sessions_free (struct module *module)
 {
-  struct guests *guests = (struct guests *)module;
-  while (guests->list != NULL)
-    guest_free (guests->list);
-  free (guests);
+  struct guests *sessions = (struct guests *)module;
+  while (sessions->list != NULL)
+    forwarded_session_free (sessions->list);
+  free (sessions);
 }
 
-static const struct module_ops guests_ops
-    = { .start = guests_start, .free = guests_free };
+static const struct module_ops forwarded_sessions_ops
+    = { .start = forwarded_sessions_start, .free = forwarded_sessions_free };
 
 struct guests *
 guests_new (void)
 {
-  struct guests *guests = mem_zalloc (sizeof *guests);
-  guests->base.ops = &guests_ops;
-  guests->base.name = "guests";
-  return guests;
+  struct guests *sessions = mem_zalloc (sizeof *sessions);
+  sessions->base.ops = &forwarded_sessions_ops;
+  sessions->base.name = "guests";
+  return sessions;
 }
 
 struct module *
-guests_module (struct guests *guests)
+guests_module (struct guests *sessions)
 {
-  return &guests->base;
+  return &sessions->base;
 }
--- a/src/proxy/guests.h
+++ b/src/proxy/guests.h
@@ -13,21 +13,21 @@
 
 #include "kernel/kernel.h"
 
-/* Beyond the idle limit of transactions, which their own host enforces.  */
+/* Beyond the idle timeout of transactions, which their own host enforces.  */
 #define GUESTS_IDLE_MARGIN_MS 1000
 
-/* The same where the configuration sets no limit.  */
-#define GUESTS_IDLE_DEFAULT_MS 60000
+/* The same where the configuration sets no timeout.  */
+#define FORWARDED_IDLE_DEFAULT_MS 60000
 
 struct guests;
 
 struct guests *guests_new (void);
-struct module *guests_module (struct guests *guests);
+struct module *guests_module (struct guests *sessions);
 
 /* Statements that run and transactions that are open.  */
-size_t guests_count (const struct guests *guests);
+size_t guests_count (const struct guests *sessions);
 
 /* From now on this host takes no new statement or transaction: it leaves.  */
-void guests_refuse (struct guests *guests);
+void guests_refuse (struct guests *sessions);
 
 #endif
--- a/src/proxy/statement.h
+++ b/src/proxy/statement.h
@@ -66,7 +66,8 @@
 
 const char *code_name (enum code code);
 
-/* Whether an instance's answer CODE proves that the statement did not run.  */
+/* Whether an instance's answer CODE confirms_leader that the statement did not
+ * run.  */
 bool code_not_run (enum code code);
 
 enum tx_state
--- a/src/proxy/values.c
+++ b/src/proxy/values.c
@@ -24,7 +24,7 @@
 }
 
 static size_t
-find_place (const struct values *values, const char *name, bool *found)
+find_index (const struct values *values, const char *name, bool *found)
 {
   *found = false;
   for (size_t i = 0; i < values->count; i++)
@@ -41,7 +41,7 @@
 values_set (struct values *values, const char *name, const char *text)
 {
   bool found;
-  size_t place = find_place (values, name, &found);
+  size_t place = find_index (values, name, &found);
   if (!found)
     {
       if (values->count == VALUES_LIMIT)
