--- a/src/cli/proxy_report.c
+++ b/src/cli/proxy_report.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 #include "proxy/catalog.h"
+#include "proxy/forwarded_sessions.h"
 #include "proxy/group.h"
-#include "proxy/guests.h"
 #include "proxy/hosts.h"
 #include "proxy/mirror.h"
 #include "proxy/placement.h"
@@ -23,7 +23,8 @@
 {
   struct catalog *catalog = (struct catalog *)kernel_find (kernel, "catalog");
   struct groups *groups = (struct groups *)kernel_find (kernel, "groups");
-  struct guests *guests = (struct guests *)kernel_find (kernel, "guests");
+  struct forwarded_sessions *forwarded_sessions
+      = (struct forwarded_sessions *)kernel_find (kernel, "guests");
   struct hosts *hosts = (struct hosts *)kernel_find (kernel, "hosts");
   struct mirror *mirror = (struct mirror *)kernel_find (kernel, "mirror");
   struct roster *roster = (struct roster *)kernel_find (kernel, "roster");
@@ -31,15 +32,17 @@
   uint64_t token = 0;
   size_t others;
   hosts_list (hosts, &others);
-  bool holds = roster_holds (roster, &token);
-  json_t *known = json_pack (
-      "{s:I, s:I, s:I, s:I, s:I, s:b, s:b, s:b, s:I}", "config_version",
-      (json_int_t)config->version, "databases",
-      (json_int_t)config->route_count, "groups",
-      (json_int_t)config->group_count, "hosts", (json_int_t)others + 1,
-      "forwarded_here", (json_int_t)guests_count (guests), "store_reached",
-      (int)mirror_reached (mirror), "cut_off", (int)groups_cut_off (groups),
-      "holds_duty", (int)holds, "token", (json_int_t)token);
+  bool holds = roster_holds_duty (roster, &token);
+  json_t *known
+      = json_pack ("{s:I, s:I, s:I, s:I, s:I, s:b, s:b, s:b, s:I}",
+                   "config_version", (json_int_t)config->version, "databases",
+                   (json_int_t)config->route_count, "groups",
+                   (json_int_t)config->group_count, "hosts",
+                   (json_int_t)others + 1, "forwarded_here",
+                   (json_int_t)forwarded_sessions_count (forwarded_sessions),
+                   "store_reached", (int)mirror_store_reachable (mirror),
+                   "cut_off", (int)groups_cut_off (groups), "holds_duty",
+                   (int)holds, "token", (json_int_t)token);
   json_object_update_new (status, known);
 }
 
@@ -99,7 +102,7 @@
                     (int)entry->draining, "reachable",
                     (int)backend_usable (backend), "connections",
                     (int)backend_open_connections (backend), "heard_ms_ago",
-                    age_or_null (kernel, backend_heard_ms (backend)));
+                    age_or_null (kernel, backend_last_answer_ms (backend)));
 }
 
 static void
@@ -145,8 +148,8 @@
 static json_t *
 report_choices (const struct group *group, struct position floor)
 {
-  struct group_choice choices[GROUP_INSTANCES];
-  size_t count = group_choices (group, floor, choices);
+  struct read_candidate choices[GROUP_INSTANCES];
+  size_t count = group_read_candidates (group, floor, choices);
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
     json_array_append_new (
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -45,8 +45,8 @@
   struct entry *entry = call->entry;
   char token[TOKEN_LIMIT_BYTES] = "";
   if (call->session_known)
-    session_print (&call->session, entry->token_key, call->service,
-                   call->caller, token, sizeof token);
+    session_encode (&call->session, entry->token_key, call->service,
+                    call->caller, token, sizeof token);
   struct entry_answer out = {
     .outcome = answer->outcome,
     .reason = answer->reason,
--- a/src/core/entry_route.c
+++ b/src/core/entry_route.c
@@ -41,7 +41,7 @@
   bool plain = gateway_policy (entry->gateway) == POLICY_PLAIN;
   call->reason = reason;
   bool allowed = plain ? call->retries < ENTRY_PLAIN_RETRIES
-                       : retry_budget_take (&call->load->budget);
+                       : retry_budget_withdraw (&call->load->budget);
   if (!allowed)
     {
       metrics_count (metrics, "entry_retry_limit_total");
--- a/src/core/entry_send.c
+++ b/src/core/entry_send.c
@@ -37,7 +37,7 @@
     return;
   if (call->kind.freshness == FRESHNESS_STRONG)
     {
-      execute->max_age_ms = GATEWAY_STRONG;
+      execute->max_age_ms = GATEWAY_STRONG_READ;
       return;
     }
   execute->min_term = call->position.term;
@@ -132,7 +132,7 @@
   if (time_left (call) <= 0 || !call_pick (call, &choice)
       || gateway_hosts (entry->members, choice.instance, hosts) == 0)
     return;
-  if (!retry_budget_take (&call->load->budget))
+  if (!retry_budget_withdraw (&call->load->budget))
     {
       metrics_count (metrics, "entry_hedge_limit_total");
       return;
@@ -198,7 +198,7 @@
     .message = executed->message,
   };
   if (executed->outcome == OUTCOME_DONE)
-    session_see (&call->session, call->database, seen);
+    session_advance (&call->session, call->database, seen);
   if (executed->outcome == OUTCOME_NOT_RUN && call->maybe_ran)
     answer.outcome = OUTCOME_UNKNOWN;
   call->retry_after_ms = executed->retry_after_ms;
--- a/src/core/entry_submit.c
+++ b/src/core/entry_submit.c
@@ -96,7 +96,7 @@
     }
   call->load = load;
   load->count++;
-  retry_budget_earn (&load->budget);
+  retry_budget_deposit (&load->budget);
   return REASON_NONE;
 }
 
@@ -104,8 +104,8 @@
 check_session (struct entry_call *call, const struct entry_request *request)
 {
   struct entry *entry = call->entry;
-  if (!session_open (&call->session, entry->token_key, call->service,
-                     call->caller, request->token))
+  if (!session_decode (&call->session, entry->token_key, call->service,
+                       call->caller, request->token))
     {
       metrics_count (kernel_metrics (entry->base.kernel),
                      "entry_bad_tokens_total");
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -28,7 +28,7 @@
 
 /* How long after a read of the platform a host may take its view of a term
    as current, for ACK_PRIMARY and strong reads.  */
-#define ACK_WINDOW_MS 3000
+#define TERM_VIEW_MAX_AGE_MS 3000
 
 /* Of the window, what an answer may take from the gateway to the caller.  */
 #define ACK_TRANSIT_MS 1000
@@ -37,10 +37,10 @@
    serve.  Other values: 0 no limit, above 0 the limit of a replica's lag.
    For writes, look-ups and strong reads, min_term is the term required; for
    other reads, min_term and min_lsn are the position of the session.  */
-#define GATEWAY_STRONG (-1)
+#define GATEWAY_STRONG_READ (-1)
 
 /* How long a gateway holds a read for the replica to catch up.  */
-#define GATEWAY_READ_WAIT_MS 100
+#define GATEWAY_REPLAY_WAIT_MS 100
 
 #define LEDGER_RETENTION_MS ((clk_ms)24 * 60 * 60 * 1000)
 
--- a/src/core/gateway_execute.c
+++ b/src/core/gateway_execute.c
@@ -73,7 +73,7 @@
       = terms_get (instance->gateway->terms, instance->database);
   if (record == NULL)
     return REASON_STALE_TERM;
-  if (!job->read_only || job->max_age_ms == GATEWAY_STRONG)
+  if (!job->read_only || job->max_age_ms == GATEWAY_STRONG_READ)
     return record->term > job->min.term ? REASON_STALE_TERM : REASON_NONE;
   if (job->min.term > record->term)
     return REASON_STALE_TERM;
@@ -143,7 +143,7 @@
 gw_wait_replay (struct gw_job *job)
 {
   struct gw_instance *instance = job->instance;
-  clk_ms until_ms = gw_now (instance->gateway) + GATEWAY_READ_WAIT_MS;
+  clk_ms until_ms = gw_now (instance->gateway) + GATEWAY_REPLAY_WAIT_MS;
   if (until_ms > job->item.deadline_ms)
     until_ms = job->item.deadline_ms;
   job->wait.kind = ACK_REPLAYED;
@@ -175,7 +175,7 @@
 start_read_or_write (struct gw_job *job)
 {
   if (must_wait_replay (job)
-      && job->instance->report.lag_ms > GATEWAY_READ_WAIT_MS)
+      && job->instance->report.lag_ms > GATEWAY_REPLAY_WAIT_MS)
     gw_refuse (job, REASON_NO_REPLICA, 0);
   else if (must_wait_replay (job))
     gw_wait_replay (job);
--- a/src/core/gateway_result.c
+++ b/src/core/gateway_result.c
@@ -130,7 +130,7 @@
 needs_barrier (const struct gw_job *job, const struct db_report *report)
 {
   const struct gateway *gateway = job->instance->gateway;
-  if (job->max_age_ms == GATEWAY_STRONG)
+  if (job->max_age_ms == GATEWAY_STRONG_READ)
     return !MUTANT (trust_primary)
            && (job->ack == ACK_MAJORITY || !gw_view_is_recent (gateway));
   return job->max_age_ms > 0 && report->primary
@@ -145,7 +145,7 @@
   const struct term_record *record
       = terms_get (instance->gateway->terms, instance->database);
   struct position seen = { .term = report->term, .lsn = report->replayed_lsn };
-  if (job->max_age_ms == GATEWAY_STRONG)
+  if (job->max_age_ms == GATEWAY_STRONG_READ)
     {
       bool current = report->primary && report->term == job->min.term;
       return current ? REASON_NONE : REASON_STALE_TERM;
--- a/src/core/gateway_run.c
+++ b/src/core/gateway_run.c
@@ -41,7 +41,7 @@
   };
   if (!job->read_only)
     db_job.term = MUTANT (skip_term_check) ? 0 : job->min.term;
-  else if (job->max_age_ms != GATEWAY_STRONG)
+  else if (job->max_age_ms != GATEWAY_STRONG_READ)
     db_job.min_lsn = MUTANT (skip_position_check) ? 0 : job->min.lsn;
   job->conn = conn;
   job->state = GW_RUNNING;
--- a/src/core/gateway_status.c
+++ b/src/core/gateway_status.c
@@ -13,7 +13,7 @@
 bool
 gw_view_is_recent (const struct gateway *gateway)
 {
-  return gw_view_age (gateway) < ACK_WINDOW_MS - ACK_TRANSIT_MS;
+  return gw_view_age (gateway) < TERM_VIEW_MAX_AGE_MS - ACK_TRANSIT_MS;
 }
 
 void
--- a/src/core/promotion.c
+++ b/src/core/promotion.c
@@ -110,7 +110,8 @@
 static void
 set_window (struct guard *guard)
 {
-  clk_ms window_ms = ACK_WINDOW_MS + ACK_WINDOW_MS / CLOCK_DRIFT_DIVISOR;
+  clk_ms window_ms
+      = TERM_VIEW_MAX_AGE_MS + TERM_VIEW_MAX_AGE_MS / CLOCK_DRIFT_DIVISOR;
   guard->promotion.active_after_ms
       = needs_window (guard) && !MUTANT (skip_ack_window)
             ? now (guard) + window_ms
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -11,7 +11,7 @@
      PROMOTE   the chosen instance becomes primary of T+1
      ACTIVATE  compare-and-swap: {active}; where a kind is acknowledged by
                the primary alone and the old one was not sealed, only once
-               ACK_WINDOW_MS have passed since CLAIM
+               TERM_VIEW_MAX_AGE_MS have passed since CLAIM
 
    A write is acknowledged once the primary and one replica of its term have
    it.  Of N instances N - 1 are sealed before the choice, so that every such
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -10,7 +10,7 @@
 }
 
 void
-retry_budget_earn (struct retry_budget *budget)
+retry_budget_deposit (struct retry_budget *budget)
 {
   budget->percent += RETRY_SHARE_PERCENT;
   if (budget->percent > RETRY_BURST * ONE_RETRY)
@@ -18,7 +18,7 @@
 }
 
 bool
-retry_budget_take (struct retry_budget *budget)
+retry_budget_withdraw (struct retry_budget *budget)
 {
   if (budget->percent < ONE_RETRY)
     return false;
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -24,10 +24,10 @@
 void retry_budget_init (struct retry_budget *budget);
 
 /* Notes a fresh request.  */
-void retry_budget_earn (struct retry_budget *budget);
+void retry_budget_deposit (struct retry_budget *budget);
 
 /* Takes one retry; false if there is none left.  */
-bool retry_budget_take (struct retry_budget *budget);
+bool retry_budget_withdraw (struct retry_budget *budget);
 
 /* Returns the delay before retry number ATTEMPT, from 0: uniform between 0
    and an exponentially growing limit (full jitter).  */
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -76,7 +76,7 @@
 {
   clk_ms now_ms = kernel_now (router->base.kernel);
   rating.wait_ms = expected_replay_ms (state, query);
-  if (rating.wait_ms > GATEWAY_READ_WAIT_MS)
+  if (rating.wait_ms > GATEWAY_REPLAY_WAIT_MS)
     return unusable (rating, "behind session");
   if (query->freshness == FRESHNESS_MAX_AGE && state->known
       && state->lag_ms > query->max_age_ms)
--- a/src/core/router_probe.c
+++ b/src/core/router_probe.c
@@ -31,7 +31,7 @@
 needs_probe (const struct router_state *state, clk_ms now_ms)
 {
   bool behind
-      = state->share < SHARE_FULL || state->lag_ms > GATEWAY_READ_WAIT_MS;
+      = state->share < SHARE_FULL || state->lag_ms > GATEWAY_REPLAY_WAIT_MS;
   return state->known && behind && now_ms - state->observed_ms >= PROBE_MS;
 }
 
--- a/src/core/session.c
+++ b/src/core/session.c
@@ -50,8 +50,8 @@
 }
 
 bool
-session_open (struct session *session, const uint8_t *key, const char *service,
-              const char *caller, const char *token)
+session_decode (struct session *session, const uint8_t *key,
+                const char *service, const char *caller, const char *token)
 {
   const struct seal_context context = {
     .key = key, .purpose = purpose, .service = service, .caller = caller
@@ -66,9 +66,9 @@
 }
 
 bool
-session_print (const struct session *session, const uint8_t *key,
-               const char *service, const char *caller, char *out,
-               size_t out_bytes)
+session_encode (const struct session *session, const uint8_t *key,
+                const char *service, const char *caller, char *out,
+                size_t out_bytes)
 {
   const struct seal_context context = {
     .key = key, .purpose = purpose, .service = service, .caller = caller
@@ -118,8 +118,8 @@
 }
 
 void
-session_see (struct session *session, const char *database,
-             struct position position)
+session_advance (struct session *session, const char *database,
+                 struct position position)
 {
   uint64_t hash = database_hash (database);
   size_t i = find (session, hash);
--- a/src/core/session.h
+++ b/src/core/session.h
@@ -31,13 +31,14 @@
 
 /* Reads TOKEN, of SERVICE and CALLER; NULL or "" is an empty session.
    Returns false if the token is malformed, altered or another's.  */
-bool session_open (struct session *session, const uint8_t *key,
-                   const char *service, const char *caller, const char *token);
+bool session_decode (struct session *session, const uint8_t *key,
+                     const char *service, const char *caller,
+                     const char *token);
 
 /* Writes the token of SESSION to OUT, of TOKEN_LIMIT_BYTES (entry.h).  */
-bool session_print (const struct session *session, const uint8_t *key,
-                    const char *service, const char *caller, char *out,
-                    size_t out_bytes);
+bool session_encode (const struct session *session, const uint8_t *key,
+                     const char *service, const char *caller, char *out,
+                     size_t out_bytes);
 
 /* Returns the position seen of DATABASE, {0, 0} if none.  */
 struct position session_position (const struct session *session,
@@ -47,7 +48,7 @@
 bool session_has_room (const struct session *session, const char *database);
 
 /* Notes that the session has seen POSITION; an earlier one is ignored.  */
-void session_see (struct session *session, const char *database,
-                  struct position position);
+void session_advance (struct session *session, const char *database,
+                      struct position position);
 
 #endif
--- a/src/proxy/admission.c
+++ b/src/proxy/admission.c
@@ -33,7 +33,7 @@
   end_span (admission, now_ms);
   bool fits = admission->waiting < ADMISSION_QUEUE_MIN;
   if (admission->rate_per_ms == 0)
-    fits |= admission->waiting < ADMISSION_WAITING_FIRST;
+    fits |= admission->waiting < ADMISSION_QUEUE_DEFAULT;
   else
     fits |= (double)admission->waiting
             <= admission->rate_per_ms * (double)left_ms;
--- a/src/proxy/admission.h
+++ b/src/proxy/admission.h
@@ -19,7 +19,7 @@
 
 /* So many may wait in any case, and so many while no rate is known.  */
 #define ADMISSION_QUEUE_MIN 3
-#define ADMISSION_WAITING_FIRST 32
+#define ADMISSION_QUEUE_DEFAULT 32
 
 /* Zero-initialised: nothing waits, and no rate is known.  */
 struct admission
--- a/src/proxy/backend.c
+++ b/src/proxy/backend.c
@@ -138,7 +138,7 @@
 }
 
 struct backend_conn *
-backend_take (struct backend *backend, struct conn_user *user)
+backend_acquire (struct backend *backend, struct conn_user *user)
 {
   struct backend_conn *conn = NULL;
   if (backend->waiters == NULL || backend->waiters->priority > user->priority)
@@ -245,7 +245,7 @@
   clk_ms asked_ms = backend->probe_ms;
   bool proven = answer->code == CODE_OK && answer->has_position;
   struct position position = answer->position;
-  conn_give (conn);
+  conn_release (conn);
   if (proven)
     backend->options.proven (backend->options.arg, backend, position,
                              asked_ms);
@@ -297,7 +297,7 @@
   if (backend->share == 0 || backend->probe_conn != NULL
       || backend->probe_user.waits_for != NULL)
     return;
-  struct backend_conn *conn = backend_take (backend, &backend->probe_user);
+  struct backend_conn *conn = backend_acquire (backend, &backend->probe_user);
   if (conn != NULL)
     probe_send (backend, conn);
 }
@@ -430,13 +430,13 @@
 }
 
 void
-backend_warm (struct backend *backend)
+backend_fill_pool (struct backend *backend)
 {
   open_needed (backend);
 }
 
 clk_ms
-backend_heard_ms (const struct backend *backend)
+backend_last_answer_ms (const struct backend *backend)
 {
   return backend->last_answer_ms;
 }
@@ -480,7 +480,7 @@
 }
 
 double
-backend_typical_ms (const struct backend *backend)
+backend_mean_latency_ms (const struct backend *backend)
 {
   return backend->mean_latency_ms;
 }
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -110,12 +110,12 @@
 void backend_set_share (struct backend *backend, uint32_t share);
 
 /* Opens what is kept open without use.  */
-void backend_warm (struct backend *backend);
+void backend_fill_pool (struct backend *backend);
 
 /* Returns a connection now owned by USER, or NULL: then granted follows
    when one is free, until backend_cancel.  */
-struct backend_conn *backend_take (struct backend *backend,
-                                   struct conn_user *user);
+struct backend_conn *backend_acquire (struct backend *backend,
+                                      struct conn_user *user);
 void backend_cancel (struct conn_user *user);
 
 /* Asks the instance whether it leads and where its log is; takes no slot.
@@ -129,7 +129,7 @@
 bool backend_usable (const struct backend *backend);
 
 /* When the instance last answered anything.  */
-clk_ms backend_heard_ms (const struct backend *backend);
+clk_ms backend_last_answer_ms (const struct backend *backend);
 
 struct position backend_position (const struct backend *backend);
 uint32_t backend_busy (const struct backend *backend);
@@ -138,7 +138,7 @@
 uint32_t backend_waiting (const struct backend *backend);
 
 /* Mean time of a statement here, queue at the instance included.  */
-double backend_typical_ms (const struct backend *backend);
+double backend_mean_latency_ms (const struct backend *backend);
 /* Share of recent statements refused for want of a slot, 0 to 1.  */
 double backend_refusal_share (const struct backend *backend);
 void backend_note_latency (struct backend *backend, clk_ms latency_ms,
@@ -168,6 +168,6 @@
 enum tx_state conn_state (const struct backend_conn *conn);
 
 /* Hands CONN back; it is cleaned first where that is needed.  */
-void conn_give (struct backend_conn *conn);
+void conn_release (struct backend_conn *conn);
 
 #endif
--- a/src/proxy/backend_conn.c
+++ b/src/proxy/backend_conn.c
@@ -323,7 +323,7 @@
 }
 
 void
-conn_give (struct backend_conn *conn)
+conn_release (struct backend_conn *conn)
 {
   struct backend *backend = conn->backend;
   conn->user = NULL;
--- a/src/proxy/caller.c
+++ b/src/proxy/caller.c
@@ -62,7 +62,7 @@
   kernel_timer_cancel (kernel, &caller->deadline_timer);
   kernel_timer_cancel (kernel, &caller->retry_timer);
   kernel_timer_cancel (kernel, &caller->slow);
-  group_cancel (&caller->waiter);
+  group_unsubscribe (&caller->waiter);
   if (caller->run.queue != NULL)
     admission_leave (caller->run.queue);
   text_copy (caller->served_by, sizeof caller->served_by,
--- a/src/proxy/caller_impl.h
+++ b/src/proxy/caller_impl.h
@@ -80,7 +80,7 @@
   struct position own;       /* of the last commit of the session */
   struct backend_conn *conn; /* in use by run or transaction */
   struct conn_user user;
-  struct group_waiter waiter;
+  struct group_subscriber waiter;
   struct ktimer retry_timer;    /* next attempt */
   struct ktimer deadline_timer; /* timeout of the statement */
   struct ktimer idle;           /* idle timeout of the transaction */
--- a/src/proxy/caller_run.c
+++ b/src/proxy/caller_run.c
@@ -41,7 +41,7 @@
 {
   struct kernel *kernel = caller_kernel (caller);
   backend_cancel (&caller->user);
-  group_cancel (&caller->waiter);
+  group_unsubscribe (&caller->waiter);
   kernel_timer_cancel (kernel, &caller->retry_timer);
   kernel_timer_cancel (kernel, &caller->deadline_timer);
   kernel_timer_cancel (kernel, &caller->slow);
@@ -87,7 +87,7 @@
   run->stage = RUN_CONNECTING;
   caller->user.priority = run->route.priority;
   caller->user.values_hash = caller->values.hash;
-  struct backend_conn *conn = backend_take (backend, &caller->user);
+  struct backend_conn *conn = backend_acquire (backend, &caller->user);
   if (conn != NULL)
     run_on (caller, conn);
   else
@@ -159,7 +159,7 @@
     }
   if (!run->has_min_position && !set_min_position (caller, group))
     {
-      group_sample (group);
+      group_request_sample (group);
       hold (caller, "no recent position");
       return;
     }
@@ -181,14 +181,14 @@
     return;
   run->attempts++;
   raise_min_position (caller, group);
-  group_await (group, &caller->waiter);
+  group_subscribe (group, &caller->waiter);
   caller_wait (caller, CALLER_BUSY_BACKOFF_MS);
 }
 
 static void
 dispatch (struct caller *caller)
 {
-  group_cancel (&caller->waiter);
+  group_unsubscribe (&caller->waiter);
   kernel_timer_cancel (caller_kernel (caller), &caller->retry_timer);
   if (caller->conn != NULL)
     run_on (caller, caller->conn);
@@ -243,7 +243,7 @@
                NULL);
   if (caller_is_repeatable (caller))
     {
-      double usual_ms = backend_typical_ms (conn_backend (conn));
+      double usual_ms = backend_mean_latency_ms (conn_backend (conn));
       clk_ms slow_ms = (clk_ms)(CALLER_SLOW_FACTOR * usual_ms);
       caller_set_timer (caller, &caller->slow,
                         slow_ms > CALLER_SLOW_MS ? slow_ms : CALLER_SLOW_MS);
@@ -293,7 +293,7 @@
   enum code code = answer->code;
   bool pinned = caller_in_transaction (caller) && !caller->run.begins;
   if (code == CODE_LAGGING && group != NULL)
-    group_behind (group, backend);
+    group_mark_behind (group, backend);
   caller_drop_conn (caller);
   if (pinned)
     caller_fail (caller, CODE_ABORTED, "the instance refused a value");
@@ -322,7 +322,7 @@
   if (commits && position_compare (answer->position, caller->own) > 0)
     caller->own = answer->position;
   if (confirms_leader)
-    group_proven (group, backend, answer->position, run->sent_ms);
+    group_confirm_leader (group, backend, answer->position, run->sent_ms);
 }
 
 static void
@@ -389,9 +389,9 @@
   struct group *group = caller_group (caller);
   enum code code = answer->code;
   if (code == CODE_LAGGING && group != NULL)
-    group_behind (group, backend);
+    group_mark_behind (group, backend);
   if (code == CODE_READONLY && group != NULL)
-    group_refuted (group, backend);
+    group_reject_leader (group, backend);
   if (caller_in_transaction (caller))
     {
       handle_tx_error (caller, answer);
@@ -420,8 +420,9 @@
   struct group *group = caller_group (caller);
   if (group == NULL || !answer->has_position)
     return true;
-  group_proven (group, backend, answer->position, caller->run.begin_sent_ms);
-  if (group_covers (group, backend, answer->position))
+  group_confirm_leader (group, backend, answer->position,
+                        caller->run.begin_sent_ms);
+  if (group_leader_caught_up (group, backend, answer->position))
     return true;
   caller_drop_conn (caller);
   caller_wait_for_group (caller, "the primary is catching up",
@@ -514,7 +515,7 @@
 }
 
 static void
-on_group_change (struct group_waiter *waiter)
+on_group_change (struct group_subscriber *waiter)
 {
   struct caller *caller
       = (struct caller *)(void *)((char *)waiter
--- a/src/proxy/caller_wait.c
+++ b/src/proxy/caller_wait.c
@@ -11,7 +11,7 @@
   struct backend_conn *conn = caller->conn;
   caller->conn = NULL;
   if (conn != NULL)
-    conn_give (conn);
+    conn_release (conn);
 }
 
 void
@@ -140,7 +140,7 @@
       caller_fail (caller, caller_refusal (caller), why);
       return;
     }
-  group_await (group, &caller->waiter);
+  group_subscribe (group, &caller->waiter);
   caller_wait (caller, left_ms < wait_ms ? left_ms : wait_ms);
 }
 
--- a/src/proxy/guests.c
+++ b/src/proxy/forwarded_sessions.c
@@ -1,4 +1,4 @@
-#include "proxy/guests.h"
+#include "proxy/forwarded_sessions.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 struct forwarded_session
 {
-  struct guests *owner;
+  struct forwarded_sessions *owner;
   uint64_t number; /* chosen by the sender */
   bool in_transaction;
   uint64_t call; /* to be answered; 0 between statements */
@@ -23,7 +23,7 @@
   struct forwarded_session *next;
 };
 
-struct guests
+struct forwarded_sessions
 {
   struct module base;
   struct hosts *hosts;
@@ -66,7 +66,7 @@
 static void
 forwarded_session_free (struct forwarded_session *session)
 {
-  struct guests *sessions = session->owner;
+  struct forwarded_sessions *sessions = session->owner;
   peer_forwarded unknown = { .code = CODE_INDOUBT,
                              .reason = "ended while it ran",
                              .instance = "" };
@@ -89,10 +89,10 @@
 static void
 schedule_end (struct forwarded_session *session, bool at_once)
 {
-  struct guests *sessions = session->owner;
+  struct forwarded_sessions *sessions = session->owner;
   struct kernel *kernel = sessions->base.kernel;
   clk_ms idle_ms = catalog_config (sessions->catalog)->tx_idle_ms;
-  clk_ms span_ms = idle_ms > 0 ? idle_ms + GUESTS_IDLE_MARGIN_MS
+  clk_ms span_ms = idle_ms > 0 ? idle_ms + FORWARDED_IDLE_MARGIN_MS
                                : FORWARDED_IDLE_DEFAULT_MS;
   kernel_timer_set (kernel, &session->end,
                     kernel_now (kernel) + (at_once ? 0 : span_ms));
@@ -107,7 +107,7 @@
 }
 
 static void
-refuse (struct guests *sessions, uint64_t call)
+refuse (struct forwarded_sessions *sessions, uint64_t call)
 {
   hosts_reply (sessions->hosts, call,
                &(peer_body){ .kind = PEER_KIND_REFUSED });
@@ -116,7 +116,7 @@
 /* Answers a statement of a transaction that is not open here, or the end of
    what has ended.  */
 static void
-reply_ended (struct guests *sessions, uint64_t call, bool rollback)
+reply_ended (struct forwarded_sessions *sessions, uint64_t call, bool rollback)
 {
   peer_body body = { .kind = PEER_KIND_FORWARDED };
   body.peer_body_u.forwarded
@@ -127,7 +127,7 @@
 }
 
 static struct forwarded_session *
-find_session (const struct guests *sessions, uint64_t number)
+find_session (const struct forwarded_sessions *sessions, uint64_t number)
 {
   struct forwarded_session *session;
   DL_FOREACH (sessions->list, session)
@@ -140,7 +140,7 @@
 
 /* Returns NULL if a name of the request does not fit.  */
 static struct forwarded_session *
-open_session (struct guests *sessions, const peer_forward *request)
+open_session (struct forwarded_sessions *sessions, const peer_forward *request)
 {
   clk_ms now_ms = kernel_now (sessions->base.kernel);
   struct forwarded_session *session = mem_zalloc (sizeof *session);
@@ -232,7 +232,7 @@
 continue_transaction (struct forwarded_session *session, uint64_t call,
                       const peer_forward *request)
 {
-  struct guests *sessions = session->owner;
+  struct forwarded_sessions *sessions = session->owner;
   if (request->kind == STMT_ROLLBACK)
     {
       forwarded_session_free (session);
@@ -248,7 +248,7 @@
 static void
 on_forward (void *arg, uint64_t call, const peer_message *message)
 {
-  struct guests *sessions = arg;
+  struct forwarded_sessions *sessions = arg;
   const peer_forward *request = &message->body.peer_body_u.forward;
   struct forwarded_session *session = find_session (sessions, request->number);
   if (session != NULL)
@@ -276,13 +276,13 @@
 }
 
 size_t
-guests_count (const struct guests *sessions)
+forwarded_sessions_count (const struct forwarded_sessions *sessions)
 {
   return sessions->count;
 }
 
 void
-guests_refuse (struct guests *sessions)
+forwarded_sessions_stop_accepting (struct forwarded_sessions *sessions)
 {
   sessions->stopped = true;
 }
@@ -290,7 +290,7 @@
 static void
 forwarded_sessions_start (struct module *module)
 {
-  struct guests *sessions = (struct guests *)module;
+  struct forwarded_sessions *sessions = (struct forwarded_sessions *)module;
   struct kernel *kernel = module->kernel;
   sessions->hosts = (struct hosts *)kernel_find (kernel, "hosts");
   sessions->callers = (struct callers *)kernel_find (kernel, "callers");
@@ -301,7 +301,7 @@
 static void
 forwarded_sessions_free (struct module *module)
 {
-  struct guests *sessions = (struct guests *)module;
+  struct forwarded_sessions *sessions = (struct forwarded_sessions *)module;
   while (sessions->list != NULL)
     forwarded_session_free (sessions->list);
   free (sessions);
@@ -310,17 +310,17 @@
 static const struct module_ops forwarded_sessions_ops
     = { .start = forwarded_sessions_start, .free = forwarded_sessions_free };
 
-struct guests *
-guests_new (void)
+struct forwarded_sessions *
+forwarded_sessions_new (void)
 {
-  struct guests *sessions = mem_zalloc (sizeof *sessions);
+  struct forwarded_sessions *sessions = mem_zalloc (sizeof *sessions);
   sessions->base.ops = &forwarded_sessions_ops;
   sessions->base.name = "guests";
   return sessions;
 }
 
 struct module *
-guests_module (struct guests *sessions)
+forwarded_sessions_module (struct forwarded_sessions *sessions)
 {
   return &sessions->base;
 }
--- a/src/proxy/guests.h
+++ b/src/proxy/forwarded_sessions.h
@@ -1,4 +1,4 @@
-/* guests - statements of other hosts' sessions, run on this host's
+/* forwarded_sessions - statements of other hosts' sessions, run on this host's
    connections.
 
    A statement outside of a transaction stays until it is answered, or its
@@ -6,7 +6,7 @@
    last, under the number that the sender chose; one whose sender falls silent
    is ended once it has been idle for longer than the sender would leave it so.
 
-   Module name: "guests".  */
+   Module name: "forwarded_sessions".  */
 
 #ifndef SAVORYWAY_PROXY_GUESTS_H
 #define SAVORYWAY_PROXY_GUESTS_H
@@ -14,20 +14,20 @@
 #include "kernel/kernel.h"
 
 /* Beyond the idle timeout of transactions, which their own host enforces.  */
-#define GUESTS_IDLE_MARGIN_MS 1000
+#define FORWARDED_IDLE_MARGIN_MS 1000
 
 /* The same where the configuration sets no timeout.  */
 #define FORWARDED_IDLE_DEFAULT_MS 60000
 
-struct guests;
+struct forwarded_sessions;
 
-struct guests *guests_new (void);
-struct module *guests_module (struct guests *sessions);
+struct forwarded_sessions *forwarded_sessions_new (void);
+struct module *forwarded_sessions_module (struct forwarded_sessions *sessions);
 
 /* Statements that run and transactions that are open.  */
-size_t guests_count (const struct guests *sessions);
+size_t forwarded_sessions_count (const struct forwarded_sessions *sessions);
 
 /* From now on this host takes no new statement or transaction: it leaves.  */
-void guests_refuse (struct guests *sessions);
+void forwarded_sessions_stop_accepting (struct forwarded_sessions *sessions);
 
 #endif
--- a/src/proxy/group.c
+++ b/src/proxy/group.c
@@ -8,7 +8,7 @@
 #include "kernel/mem.h"
 
 void
-group_await (struct group *group, struct group_waiter *waiter)
+group_subscribe (struct group *group, struct group_subscriber *waiter)
 {
   if (waiter->group != NULL)
     return;
@@ -17,7 +17,7 @@
 }
 
 void
-group_cancel (struct group_waiter *waiter)
+group_unsubscribe (struct group_subscriber *waiter)
 {
   if (waiter->group == NULL)
     return;
@@ -30,8 +30,8 @@
 {
   while (group->waiters != NULL)
     {
-      struct group_waiter *waiter = group->waiters;
-      group_cancel (waiter);
+      struct group_subscriber *waiter = group->waiters;
+      group_unsubscribe (waiter);
       waiter->wake (waiter);
     }
 }
@@ -66,7 +66,7 @@
 }
 
 void
-group_behind (struct group *group, struct backend *backend)
+group_mark_behind (struct group *group, struct backend *backend)
 {
   for (size_t i = 0; i < group->count; i++)
     if (group->instances[i]->backend == backend)
@@ -78,14 +78,14 @@
            clk_ms asked_ms)
 {
   struct member_instance *instance = arg;
-  group_proven (instance->group, backend, position, asked_ms);
+  group_confirm_leader (instance->group, backend, position, asked_ms);
 }
 
 static void
 on_refuted (void *arg, struct backend *backend)
 {
   struct member_instance *instance = arg;
-  group_refuted (instance->group, backend);
+  group_reject_leader (instance->group, backend);
 }
 
 static void
@@ -155,7 +155,7 @@
   instance->backend = backend_new (&options);
   backend_set_share (instance->backend, fair_share (group, placed_of (group)));
   group->instances[group->count++] = instance;
-  backend_warm (instance->backend);
+  backend_fill_pool (instance->backend);
 }
 
 static void
@@ -296,7 +296,7 @@
 group_doubt_leader (struct group *group)
 {
   if (group->leader != NULL
-      && group_now (group) - backend_heard_ms (group->leader)
+      && group_now (group) - backend_last_answer_ms (group->leader)
              >= GROUP_WATCH_MS)
     backend_probe (group->leader);
 }
@@ -327,7 +327,8 @@
     {
       struct backend *backend = group->instances[i]->backend;
       backend_check (backend);
-      if (group_now (group) - backend_heard_ms (backend) >= GROUP_IDLE_MS)
+      if (group_now (group) - backend_last_answer_ms (backend)
+          >= GROUP_IDLE_MS)
         backend_probe (backend);
     }
 }
@@ -372,7 +373,7 @@
 }
 
 void
-groups_hosts_counted (struct groups *groups)
+groups_set_hosts_known (struct groups *groups)
 {
   groups->counted = true;
   update_shares (groups);
@@ -386,7 +387,7 @@
 }
 
 void
-groups_set_watch (struct groups *groups, bool watch)
+groups_set_monitoring (struct groups *groups, bool watch)
 {
   groups->watch = watch;
   update_shares (groups);
@@ -467,7 +468,7 @@
 }
 
 void
-group_sample (struct group *group)
+group_request_sample (struct group *group)
 {
   group->used_ms = group_now (group);
   if (group->leader != NULL)
--- a/src/proxy/group.h
+++ b/src/proxy/group.h
@@ -68,13 +68,13 @@
 struct group;
 
 /* Someone who waits for a change of a group: a sample, a primary.  */
-struct group_waiter
+struct group_subscriber
 {
   /* Calls nothing of this module: it arms a timer.  */
-  void (*wake) (struct group_waiter *waiter);
+  void (*wake) (struct group_subscriber *waiter);
   struct group *group; /* NULL while not waiting */
-  struct group_waiter *prev;
-  struct group_waiter *next;
+  struct group_subscriber *prev;
+  struct group_subscriber *next;
 };
 
 struct groups_options
@@ -92,7 +92,7 @@
                   void (*fn) (void *arg, struct group *group), void *arg);
 
 /* The hosts that share the connections of the instances are known.  */
-void groups_hosts_counted (struct groups *groups);
+void groups_set_hosts_known (struct groups *groups);
 
 /* Whether statements for the group NAME run on this host's connections; true
    for one that is not known.  */
@@ -107,7 +107,7 @@
 bool groups_cut_off (const struct groups *groups);
 
 /* Sets whether this host watches over the primaries.  */
-void groups_set_watch (struct groups *groups, bool watch);
+void groups_set_monitoring (struct groups *groups, bool watch);
 
 /* Whether this host has connections to the group's instances: to serve it,
    or to watch over its primary.  */
@@ -128,30 +128,31 @@
 /* Who waits for slots: of the primary, or of any instance.  */
 struct admission *group_admission (struct group *group, bool primary);
 
-void group_await (struct group *group, struct group_waiter *waiter);
-void group_cancel (struct group_waiter *waiter);
+void group_subscribe (struct group *group, struct group_subscriber *waiter);
+void group_unsubscribe (struct group_subscriber *waiter);
 
 /* Asks the primary for a new sample.  */
-void group_sample (struct group *group);
+void group_request_sample (struct group *group);
 
 /* Notes that BACKEND led when asked at ASKED_MS, with its position.  */
-void group_proven (struct group *group, struct backend *backend,
-                   struct position position, clk_ms asked_ms);
+void group_confirm_leader (struct group *group, struct backend *backend,
+                           struct position position, clk_ms asked_ms);
 /* Whether a read on BACKEND, which leads, sees all commits that were
    acknowledged before, as its log has reached POSITION.  */
-bool group_covers (const struct group *group, const struct backend *backend,
-                   struct position position);
+bool group_leader_caught_up (const struct group *group,
+                             const struct backend *backend,
+                             struct position position);
 
 /* Notes that BACKEND refused as it does not lead.  */
-void group_refuted (struct group *group, struct backend *backend);
+void group_reject_leader (struct group *group, struct backend *backend);
 /* Another host reports that it can't reach the primary: asks it soon.  */
 void group_doubt_leader (struct group *group);
 
 /* Notes that BACKEND's log lacked a position.  */
-void group_behind (struct group *group, struct backend *backend);
+void group_mark_behind (struct group *group, struct backend *backend);
 
 /* An instance as a choice for a read.  */
-struct group_choice
+struct read_candidate
 {
   struct backend *backend;
   double cost_ms;      /* expected time, with what it costs others */
@@ -160,8 +161,8 @@
 
 /* Lists the instances as choices for a read that must see FLOOR; returns
    their number.  */
-size_t group_choices (const struct group *group, struct position floor,
-                      struct group_choice out[GROUP_INSTANCES]);
+size_t group_read_candidates (const struct group *group, struct position floor,
+                              struct read_candidate out[GROUP_INSTANCES]);
 
 /* Chooses the instance for a read that must see FLOOR, but none of TRIED;
    NULL if there is none.  */
--- a/src/proxy/group_domains.c
+++ b/src/proxy/group_domains.c
@@ -44,7 +44,8 @@
         domain->reached |= backend_usable (backend);
       unusable += !backend_usable (backend);
       if (backend_usable (backend) && doubtful < GROUP_INSTANCES
-          && group_now (group) - backend_heard_ms (backend) >= GROUP_DOUBT_MS)
+          && group_now (group) - backend_last_answer_ms (backend)
+                 >= GROUP_DOUBT_MS)
         doubted[doubtful++] = backend;
     }
   for (size_t i = 0; unusable > 0 && i < doubtful; i++)
--- a/src/proxy/group_impl.h
+++ b/src/proxy/group_impl.h
@@ -6,8 +6,8 @@
 #include <uthash.h>
 
 #include "proxy/group.h"
-#include "proxy/inquiry.h"
 #include "proxy/placement.h"
+#include "proxy/status_query.h"
 
 struct member_instance
 {
@@ -34,7 +34,7 @@
   clk_ms used_ms;
   bool served;    /* callers' statements run on this host's connections */
   bool connected; /* this host has connections */
-  struct group_waiter *waiters;
+  struct group_subscriber *waiters;
   struct admission for_primary;
   struct admission for_any;
   UT_hash_handle hh;
--- a/src/proxy/group_proof.c
+++ b/src/proxy/group_proof.c
@@ -86,8 +86,9 @@
 }
 
 bool
-group_covers (const struct group *group, const struct backend *backend,
-              struct position position)
+group_leader_caught_up (const struct group *group,
+                        const struct backend *backend,
+                        struct position position)
 {
   if (MUTANT (trust_new_primary))
     return true;
@@ -96,22 +97,22 @@
 }
 
 void
-group_proven (struct group *group, struct backend *backend,
-              struct position position, clk_ms asked_ms)
+group_confirm_leader (struct group *group, struct backend *backend,
+                      struct position position, clk_ms asked_ms)
 {
   /* A late proof of an earlier term does not replace a newer one.  */
   if (position.term < samples_newest (&group->samples).term)
     return;
   group_set_leader (group, backend, "proven");
   find_cover (group, backend, position);
-  if (!group_covers (group, backend, position))
+  if (!group_leader_caught_up (group, backend, position))
     return;
-  samples_note (&group->samples, position, asked_ms);
+  samples_add (&group->samples, position, asked_ms);
   group_wake (group);
 }
 
 void
-group_refuted (struct group *group, struct backend *backend)
+group_reject_leader (struct group *group, struct backend *backend)
 {
   group_forget_proof (group, backend);
   if (group->leader == backend)
--- a/src/proxy/group_read.c
+++ b/src/proxy/group_read.c
@@ -22,7 +22,7 @@
   const struct backend *backend = instance->backend;
   const struct instance_entry *entry = backend_entry (backend);
   uint32_t slots = entry->slots > 0 ? entry->slots : 1;
-  double typical_ms = backend_typical_ms (backend) + 1.0;
+  double typical_ms = backend_mean_latency_ms (backend) + 1.0;
   double cost = typical_ms * (1.0 + (double)backend_busy (backend) / slots);
   cost += GROUP_REFUSAL_COST_MS * backend_refusal_share (backend);
   if (strcmp (entry->zone, group->groups->zone) != 0)
@@ -61,13 +61,13 @@
 }
 
 size_t
-group_choices (const struct group *group, struct position floor,
-               struct group_choice out[GROUP_INSTANCES])
+group_read_candidates (const struct group *group, struct position floor,
+                       struct read_candidate out[GROUP_INSTANCES])
 {
   for (size_t i = 0; i < group->count; i++)
     {
       const struct member_instance *instance = group->instances[i];
-      out[i] = (struct group_choice){
+      out[i] = (struct read_candidate){
         .backend = instance->backend,
         .cost_ms = read_cost (group, instance, floor),
         .why_not = why_not (group, instance, floor),
@@ -81,14 +81,14 @@
             const char tried[][NAME_BYTES], size_t tried_count)
 {
   struct rng *rng = kernel_rng (group->groups->base.kernel);
-  struct group_choice choices[GROUP_INSTANCES];
-  size_t count = group_choices (group, floor, choices);
+  struct read_candidate choices[GROUP_INSTANCES];
+  size_t count = group_read_candidates (group, floor, choices);
   struct backend *best = NULL;
   double best_cost = 0;
   group->used_ms = group_now (group);
   for (size_t i = 0; i < count; i++)
     {
-      const struct group_choice *choice = &choices[i];
+      const struct read_candidate *choice = &choices[i];
       if (choice->why_not != NULL
           || was_tried (choice->backend, tried, tried_count))
         continue;
--- a/src/proxy/mirror.c
+++ b/src/proxy/mirror.c
@@ -456,7 +456,7 @@
 }
 
 bool
-mirror_reached (const struct mirror *mirror)
+mirror_store_reachable (const struct mirror *mirror)
 {
   return mirror->reached;
 }
--- a/src/proxy/mirror.h
+++ b/src/proxy/mirror.h
@@ -92,6 +92,6 @@
 bool mirror_complete (const struct mirror *mirror);
 
 /* Whether the last call was answered.  */
-bool mirror_reached (const struct mirror *mirror);
+bool mirror_store_reachable (const struct mirror *mirror);
 
 #endif
--- a/src/proxy/promoter.c
+++ b/src/proxy/promoter.c
@@ -8,8 +8,8 @@
 #include "kernel/mem.h"
 #include "kernel/text.h"
 #include "proxy/group.h"
-#include "proxy/inquiry.h"
 #include "proxy/roster.h"
+#include "proxy/status_query.h"
 
 enum change_stage
 {
@@ -117,7 +117,7 @@
     case PROMOTE_REFUSED:
       /* The token is outdated, or the instance is gone.  */
       stop_change (change, "refused", PROMOTER_RETRY_MS);
-      roster_yield (promoter->roster, "refused by the platform");
+      roster_resign_duty (promoter->roster, "refused by the platform");
       break;
     default:
       stop_change (change, "not done", PROMOTER_RETRY_MS);
@@ -132,7 +132,7 @@
   uint64_t token;
   if (change->stage != CHANGE_VERIFYING)
     return;
-  if (!held || !roster_holds (promoter->roster, &token))
+  if (!held || !roster_holds_duty (promoter->roster, &token))
     {
       stop_change (change, "duty lost", 0);
       return;
@@ -152,7 +152,7 @@
 {
   text_copy (change->chosen, sizeof change->chosen, id);
   set_stage (change, CHANGE_VERIFYING);
-  roster_verify (change->promoter->roster, on_verified, change);
+  roster_verify_duty (change->promoter->roster, on_verified, change);
 }
 
 /* The row with the furthest log of the newest term, or NULL.  */
@@ -375,7 +375,7 @@
 consider_hand_over (struct change *change, struct group *group,
                     struct backend *leader)
 {
-  struct roster_view view = roster_reports (
+  struct roster_report_count view = roster_count_reports (
       change->promoter->roster, change->group, backend_entry (leader)->id);
   change->silent_ms = CLK_NEVER;
   if (3 * view.hosts_reporting < 2 * view.hosts || view.hosts_reporting == 0)
@@ -399,8 +399,8 @@
                    struct backend *leader)
 {
   struct roster *roster = change->promoter->roster;
-  struct roster_view view
-      = roster_reports (roster, change->group, backend_entry (leader)->id);
+  struct roster_report_count view = roster_count_reports (
+      roster, change->group, backend_entry (leader)->id);
   if (change->silent_ms == CLK_NEVER)
     change->silent_ms = now_ms (change);
   if (2 * view.domains_reporting > view.domains)
@@ -412,7 +412,8 @@
   if (now_ms (change) - change->silent_ms >= PROMOTER_ALONE_MS)
     {
       change->silent_ms = CLK_NEVER;
-      roster_yield (roster, "others reach a primary that this host can't");
+      roster_resign_duty (roster,
+                          "others reach a primary that this host can't");
     }
 }
 
@@ -422,8 +423,8 @@
 consider_leaderless (struct change *change, struct group *group)
 {
   clk_ms since_ms = group_leaderless_since_ms (group);
-  struct roster_view view = roster_reports (change->promoter->roster,
-                                            change->group, ROSTER_NO_PRIMARY);
+  struct roster_report_count view = roster_count_reports (
+      change->promoter->roster, change->group, ROSTER_NO_PRIMARY);
   if (now_ms (change) - since_ms >= PROMOTER_LEADERLESS_MS
       && 2 * view.domains_reporting > view.domains
       && has_candidate (group, NULL))
@@ -505,12 +506,12 @@
   roster_report (promoter->roster, group_name (group),
                  report_of (promoter, group));
   if (leader != NULL
-      && roster_reports (promoter->roster, group_name (group),
-                         backend_entry (leader)->id)
+      && roster_count_reports (promoter->roster, group_name (group),
+                               backend_entry (leader)->id)
                  .hosts_reporting
              > 0)
     group_doubt_leader (group);
-  if (roster_holds (promoter->roster, &token))
+  if (roster_holds_duty (promoter->roster, &token))
     watch_group (change, group);
   else if (change->stage != CHANGE_NONE && change->stage != CHANGE_ORDERED)
     stop_change (change, "duty lost", 0);
@@ -523,7 +524,7 @@
   struct kernel *kernel = promoter->base.kernel;
   uint64_t token;
   groups_each (promoter->groups, tend_group, promoter);
-  bool holds = roster_holds (promoter->roster, &token);
+  bool holds = roster_holds_duty (promoter->roster, &token);
   kernel_timer_set (kernel, &promoter->tick,
                     kernel_now (kernel)
                         + (holds ? PROMOTER_TICK_MS : GROUP_TICK_MS));
--- a/src/proxy/relay.c
+++ b/src/proxy/relay.c
@@ -359,7 +359,7 @@
 static bool
 reaches_store (const struct relay *relay)
 {
-  return mirror_reached (relay->mirror) && !relay->refused;
+  return mirror_store_reachable (relay->mirror) && !relay->refused;
 }
 
 static void
--- a/src/proxy/roster.c
+++ b/src/proxy/roster.c
@@ -57,7 +57,7 @@
   log_event (kernel_log (roster->base.kernel),
              refuses ? LOG_WARNING : LOG_NOTICE,
              refuses ? "store_refuses" : "store_accepts",
-             LOG_U ("reached", mirror_reached (roster->mirror)));
+             LOG_U ("reached", mirror_store_reachable (roster->mirror)));
   relay_store_refuses (roster->relay, refuses);
   if (!refuses)
     mirror_watch_again (roster->mirror);
@@ -199,7 +199,7 @@
     }
   hosts_set (roster->hosts, others, count);
   free (others);
-  groups_hosts_counted (roster->groups);
+  groups_set_hosts_known (roster->groups);
   relay_hosts_changed (roster->relay);
   if (roster->host_lease != NULL)
     lease_set_renew (roster->host_lease, relay_serves (roster->relay)
@@ -277,14 +277,14 @@
   char holder[NAME_BYTES];
   const struct roster_key *key = roster_find_key (roster, DUTY_KEY);
   bool mine = key != NULL && strcmp (key->value, roster->self) == 0;
-  witness_set_holder (roster->witness, holder_name (key, holder));
+  witness_set_holder (roster->suspicions, holder_name (key, holder));
   if (mine)
     ensure_secret (roster);
   log_event (kernel_log (roster->base.kernel), LOG_NOTICE, "duty",
              LOG_S ("holder", key != NULL ? key->value : NULL),
              LOG_U ("token", key != NULL ? key->created : 0),
              LOG_U ("mine", mine));
-  groups_set_watch (roster->groups, mine);
+  groups_set_monitoring (roster->groups, mine);
   mirror_set_prompt (roster->mirror, mine);
   if (key == NULL)
     roster_claim_soon (roster);
@@ -415,7 +415,8 @@
   roster->mirror = (struct mirror *)kernel_find (module->kernel, "mirror");
   roster->relay = (struct relay *)kernel_find (module->kernel, "relay");
   relay_set_capacity (roster->relay, roster->capacity);
-  roster->witness = (struct witness *)kernel_find (module->kernel, "witness");
+  roster->suspicions
+      = (struct suspicions *)kernel_find (module->kernel, "witness");
   count_hosts (roster);
   mirror_subscribe (roster->mirror, &events);
   roster->host_lease = lease_new (module->kernel, roster->store, "host_lease",
--- a/src/proxy/roster.h
+++ b/src/proxy/roster.h
@@ -78,15 +78,16 @@
 
 /* Whether this host holds the duty, under a lease that has not run out or in
    an outage of the store; sets TOKEN.  */
-bool roster_holds (const struct roster *roster, uint64_t *token);
+bool roster_holds_duty (const struct roster *roster, uint64_t *token);
 
 /* Asks the store whether this host still holds the duty.  HELD is false if
    another one does; a store that does not answer leaves it to the lease.  */
 typedef void (*roster_verified) (void *arg, bool held);
-void roster_verify (struct roster *roster, roster_verified done, void *arg);
+void roster_verify_duty (struct roster *roster, roster_verified done,
+                         void *arg);
 
 /* Gives the duty up.  */
-void roster_yield (struct roster *roster, const char *why);
+void roster_resign_duty (struct roster *roster, const char *why);
 
 /* Reports that this host can't reach INSTANCE, the primary of GROUP; NULL
    takes the report back.  */
@@ -96,7 +97,7 @@
 /* Who can't reach an instance, of the hosts that have connections to its
    group.  A failure domain counts as reporting if two thirds of its hosts do:
    while the others reach the instance, statements are forwarded to them.  */
-struct roster_view
+struct roster_report_count
 {
   size_t hosts;
   size_t hosts_reporting;
@@ -109,8 +110,9 @@
 
 /* Counts the hosts that report INSTANCE, this one included; all 0 if nothing
    is reported at all.  */
-struct roster_view roster_reports (const struct roster *roster,
-                                   const char *group, const char *instance);
+struct roster_report_count roster_count_reports (const struct roster *roster,
+                                                 const char *group,
+                                                 const char *instance);
 
 /* Whether HOST reports INSTANCE.  */
 bool roster_host_reports (const struct roster *roster, const char *group,
--- a/src/proxy/roster_duty.c
+++ b/src/proxy/roster_duty.c
@@ -15,13 +15,13 @@
 static bool
 store_is_away (const struct roster *roster)
 {
-  struct roster_view view
-      = roster_reports (roster, WITNESS_STORE, WITNESS_STORE);
+  struct roster_report_count view
+      = roster_count_reports (roster, WITNESS_STORE, WITNESS_STORE);
   return roster->store_refuses && 2 * view.domains_reporting > view.domains;
 }
 
 bool
-roster_holds (const struct roster *roster, uint64_t *token)
+roster_holds_duty (const struct roster *roster, uint64_t *token)
 {
   const struct roster_key *key = roster_find_key (roster, DUTY_KEY);
   if (key == NULL || roster->leaving || strcmp (key->value, roster->self) != 0
@@ -103,7 +103,7 @@
   if (roster->leaving || roster->duty_call || !mirror_complete (roster->mirror)
       || roster_find_key (roster, DUTY_KEY) != NULL)
     return;
-  if (!mirror_reached (roster->mirror))
+  if (!mirror_store_reachable (roster->mirror))
     {
       roster_claim_soon (roster);
       return;
@@ -115,7 +115,7 @@
 }
 
 void
-roster_yield (struct roster *roster, const char *why)
+roster_resign_duty (struct roster *roster, const char *why)
 {
   const struct roster_key *key = roster_find_key (roster, DUTY_KEY);
   if (key == NULL || strcmp (key->value, roster->self) != 0)
@@ -144,7 +144,7 @@
   struct verification *check = arg;
   struct roster *roster = check->roster;
   uint64_t token;
-  bool held = roster_holds (roster, &token);
+  bool held = roster_holds_duty (roster, &token);
   if (reply->status == PLATFORM_OK && reply->item_count == 1)
     held = held && strcmp (reply->items[0].value, roster->self) == 0
            && reply->items[0].created == token;
@@ -159,11 +159,11 @@
 {
   struct verification *check = arg;
   uint64_t token;
-  end_verification (check, roster_holds (check->roster, &token));
+  end_verification (check, roster_holds_duty (check->roster, &token));
 }
 
 void
-roster_verify (struct roster *roster, roster_verified done, void *arg)
+roster_verify_duty (struct roster *roster, roster_verified done, void *arg)
 {
   struct verification *check = mem_zalloc (sizeof *check);
   struct platform_call call = { .kind = PLATFORM_GET,
--- a/src/proxy/roster_impl.h
+++ b/src/proxy/roster_impl.h
@@ -12,7 +12,7 @@
 #include "proxy/placement.h"
 #include "proxy/relay.h"
 #include "proxy/roster.h"
-#include "proxy/witness.h"
+#include "proxy/suspicions.h"
 
 #define PREFIX "savoryway/"
 
@@ -70,7 +70,7 @@
   void *arg;
   bool has_secret;
   bool store_refuses; /* the last call was refused or not answered */
-  struct witness *witness;
+  struct suspicions *suspicions;
   struct hosts *hosts;
   struct placement *placement;
   struct groups *groups;
@@ -106,7 +106,7 @@
 /* Notes how the store met a call.  */
 void roster_note_store (struct roster *roster, enum platform_status status);
 
-/* roster_reports.c */
+/* roster_count_reports.c */
 /* Takes note of a report of this host, by the name of its key.  */
 void roster_adopt_report (struct roster *roster, const char *name);
 
--- a/src/proxy/roster_reports.c
+++ b/src/proxy/roster_reports.c
@@ -43,7 +43,7 @@
   const struct roster_key *key = roster_find_key (roster, name);
   const char *stands = key != NULL ? key->value : "";
   if (state->call != 0 || !lease_valid (roster->host_lease)
-      || !mirror_reached (roster->mirror)
+      || !mirror_store_reachable (roster->mirror)
       || roster_now (roster) < state->again_ms
       || strcmp (state->group, WITNESS_STORE) == 0
       || strcmp (stands, state->wanted) == 0)
@@ -81,7 +81,7 @@
               roster->zone);
   else
     state->wanted[0] = '\0';
-  witness_report (roster->witness, group, instance);
+  witness_report (roster->suspicions, group, instance);
   send_report (state);
 }
 
@@ -158,7 +158,7 @@
   for (key = roster->keys; key != NULL; key = key->hh.next)
     counted.count += strncmp (key->name, prefix, strlen (prefix)) == 0
                      && report_matches (key->value, instance, domain);
-  witness_each (roster->witness, group, instance, count_voice, &counted);
+  witness_each (roster->suspicions, group, instance, count_voice, &counted);
   return counted.count;
 }
 
@@ -185,7 +185,7 @@
   const struct roster_key *key = roster_find_key (roster, name);
   if (key != NULL && report_names (key->value, instance))
     return true;
-  return witness_hears (roster->witness, group, instance, host);
+  return witness_hears (roster->suspicions, group, instance, host);
 }
 
 /* A failure domain, and its hosts with connections to a group.  */
@@ -240,15 +240,15 @@
   for (state = roster->reports; state != NULL; state = state->hh.next)
     if (state->wanted[0] != '\0')
       return true;
-  return roster->report_keys > 0 || witness_hears_any (roster->witness);
+  return roster->report_keys > 0 || witness_hears_any (roster->suspicions);
 }
 
-struct roster_view
-roster_reports (const struct roster *roster, const char *group,
-                const char *instance)
+struct roster_report_count
+roster_count_reports (const struct roster *roster, const char *group,
+                      const char *instance)
 {
   struct report_domains domains = { 0 };
-  struct roster_view view = { 0 };
+  struct roster_report_count view = { 0 };
   if (!has_reports (roster))
     return view;
   list_domains (roster, group, &domains);
--- a/src/proxy/samples.c
+++ b/src/proxy/samples.c
@@ -10,8 +10,8 @@
 }
 
 void
-samples_note (struct samples *samples, struct position position,
-              clk_ms asked_ms)
+samples_add (struct samples *samples, struct position position,
+             clk_ms asked_ms)
 {
   if (samples->count > 0)
     {
--- a/src/proxy/samples.h
+++ b/src/proxy/samples.h
@@ -33,8 +33,8 @@
 };
 
 /* Adds what a proven primary reported on a question sent at ASKED_MS.  */
-void samples_note (struct samples *samples, struct position position,
-                   clk_ms asked_ms);
+void samples_add (struct samples *samples, struct position position,
+                  clk_ms asked_ms);
 
 /* Sets POSITION to the oldest sample asked at NOT_BEFORE_MS or later;
    returns false if there is none.  */
--- a/src/proxy/inquiry.c
+++ b/src/proxy/status_query.c
@@ -1,4 +1,4 @@
-#include "proxy/inquiry.h"
+#include "proxy/status_query.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -70,7 +70,7 @@
       row->answered = true;
     }
   user->conn = NULL;
-  conn_give (conn);
+  conn_release (conn);
   end_user (user);
 }
 
@@ -94,7 +94,7 @@
       struct inquiry_user *user = &inquiry->users[i];
       backend_cancel (&user->user);
       if (user->conn != NULL)
-        conn_give (user->conn);
+        conn_release (user->conn);
       user->conn = NULL;
     }
 }
@@ -131,7 +131,7 @@
       user->user.ops = &user_ops;
       user->inquiry = inquiry;
       user->row = i;
-      struct backend_conn *conn = backend_take (backends[i], &user->user);
+      struct backend_conn *conn = backend_acquire (backends[i], &user->user);
       if (conn != NULL)
         on_granted (&user->user, conn);
     }
--- a/src/proxy/witness.c
+++ b/src/proxy/suspicions.c
@@ -1,4 +1,4 @@
-#include "proxy/witness.h"
+#include "proxy/suspicions.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -31,7 +31,7 @@
   struct voice *next;
 };
 
-struct witness
+struct suspicions
 {
   struct module base;
   struct hosts *hosts;
@@ -42,7 +42,7 @@
 };
 
 static void
-tell_host (struct witness *witness, const struct own_report *report,
+tell_host (struct suspicions *suspicions, const struct own_report *report,
            const struct peer_address *to)
 {
   peer_body body = { .kind = PEER_KIND_SUSPICION };
@@ -51,30 +51,30 @@
                           .primary = (char *)report->instance,
                           .suspected = report->instance[0] != '\0' };
   /* Told again soon, whatever comes of it.  */
-  hosts_call (witness->hosts, to, &body, WITNESS_CALL_MS, NULL, NULL);
+  hosts_call (suspicions->hosts, to, &body, WITNESS_CALL_MS, NULL, NULL);
 }
 
 static void
-tell_hosts (struct witness *witness, const struct own_report *report)
+tell_hosts (struct suspicions *suspicions, const struct own_report *report)
 {
   size_t count;
-  const struct other_host *others = hosts_list (witness->hosts, &count);
+  const struct other_host *others = hosts_list (suspicions->hosts, &count);
   for (size_t i = 0; i < count; i++)
     if (i < WITNESS_FANOUT
-        || strcmp (others[i].address.name, witness->holder) == 0)
-      tell_host (witness, report, &others[i].address);
+        || strcmp (others[i].address.name, suspicions->holder) == 0)
+      tell_host (suspicions, report, &others[i].address);
 }
 
 static void
-drop_stale (struct witness *witness)
+drop_stale (struct suspicions *suspicions)
 {
-  clk_ms now_ms = kernel_now (witness->base.kernel);
+  clk_ms now_ms = kernel_now (suspicions->base.kernel);
   struct voice *voice, *next;
-  DL_FOREACH_SAFE (witness->voices, voice, next)
+  DL_FOREACH_SAFE (suspicions->voices, voice, next)
   {
     if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS)
       continue;
-    DL_DELETE (witness->voices, voice);
+    DL_DELETE (suspicions->voices, voice);
     free (voice);
   }
 }
@@ -82,52 +82,53 @@
 static void
 on_tell (void *arg)
 {
-  struct witness *witness = arg;
-  struct kernel *kernel = witness->base.kernel;
+  struct suspicions *suspicions = arg;
+  struct kernel *kernel = suspicions->base.kernel;
   struct own_report *report;
   bool again = false;
-  drop_stale (witness);
-  for (report = witness->reports; report != NULL; report = report->hh.next)
+  drop_stale (suspicions);
+  for (report = suspicions->reports; report != NULL; report = report->hh.next)
     {
       if (report->instance[0] == '\0' && !report->taken_back)
         continue;
       again |= report->instance[0] != '\0';
       report->taken_back = false;
-      tell_hosts (witness, report);
+      tell_hosts (suspicions, report);
     }
   if (again)
-    kernel_timer_set (kernel, &witness->tell,
+    kernel_timer_set (kernel, &suspicions->tell,
                       kernel_now (kernel) + WITNESS_TELL_MS);
 }
 
 void
-witness_report (struct witness *witness, const char *group,
+witness_report (struct suspicions *suspicions, const char *group,
                 const char *instance)
 {
-  struct kernel *kernel = witness->base.kernel;
+  struct kernel *kernel = suspicions->base.kernel;
   struct own_report *report;
-  HASH_FIND_STR (witness->reports, group, report);
+  HASH_FIND_STR (suspicions->reports, group, report);
   if (report == NULL && instance == NULL)
     return;
   if (report == NULL)
     {
       report = mem_zalloc (sizeof *report);
       text_copy (report->group, sizeof report->group, group);
-      HASH_ADD_STR (witness->reports, group, report);
+      HASH_ADD_STR (suspicions->reports, group, report);
     }
   const char *wanted = instance != NULL ? instance : "";
   if (strcmp (report->instance, wanted) == 0
       || !text_copy (report->instance, sizeof report->instance, wanted))
     return;
   report->taken_back = instance == NULL;
-  kernel_timer_set (kernel, &witness->tell, kernel_now (kernel));
+  kernel_timer_set (kernel, &suspicions->tell, kernel_now (kernel));
 }
 
 static struct voice *
-find_voice (const struct witness *witness, const char *host, const char *group)
+find_voice (const struct suspicions *suspicions, const char *host,
+            const char *group)
 {
   struct voice *voice;
-  DL_FOREACH (witness->voices, voice)
+  DL_FOREACH (suspicions->voices, voice)
   {
     if (strcmp (voice->host, host) == 0 && strcmp (voice->group, group) == 0)
       return voice;
@@ -136,12 +137,12 @@
 }
 
 static void
-hear (struct witness *witness, const peer_message *message)
+hear (struct suspicions *suspicions, const peer_message *message)
 {
   const peer_suspicion *report = &message->body.peer_body_u.suspicion;
-  drop_stale (witness);
+  drop_stale (suspicions);
   struct voice *voice
-      = find_voice (witness, message->from.host, report->database);
+      = find_voice (suspicions, message->from.host, report->database);
   if (voice == NULL)
     {
       voice = mem_zalloc (sizeof *voice);
@@ -152,35 +153,37 @@
           free (voice);
           return;
         }
-      DL_APPEND (witness->voices, voice);
+      DL_APPEND (suspicions->voices, voice);
     }
   if (text_copy (voice->instance, NAME_BYTES, report->primary))
-    voice->heard_ms = kernel_now (witness->base.kernel);
+    voice->heard_ms = kernel_now (suspicions->base.kernel);
 }
 
 static void
 on_suspicion (void *arg, uint64_t call, const peer_message *message)
 {
-  struct witness *witness = arg;
-  hear (witness, message);
-  hosts_reply (witness->hosts, call, &(peer_body){ .kind = PEER_KIND_NONE });
+  struct suspicions *suspicions = arg;
+  hear (suspicions, message);
+  hosts_reply (suspicions->hosts, call,
+               &(peer_body){ .kind = PEER_KIND_NONE });
 }
 
 void
-witness_set_holder (struct witness *witness, const char *host)
+witness_set_holder (struct suspicions *suspicions, const char *host)
 {
-  if (host == NULL || !text_copy (witness->holder, NAME_BYTES, host))
-    witness->holder[0] = '\0';
+  if (host == NULL || !text_copy (suspicions->holder, NAME_BYTES, host))
+    suspicions->holder[0] = '\0';
 }
 
 void
-witness_each (struct witness *witness, const char *group, const char *instance,
+witness_each (struct suspicions *suspicions, const char *group,
+              const char *instance,
               void (*fn) (void *arg, const char *host, const char *zone),
               void *arg)
 {
-  clk_ms now_ms = kernel_now (witness->base.kernel);
+  clk_ms now_ms = kernel_now (suspicions->base.kernel);
   const struct voice *voice;
-  DL_FOREACH (witness->voices, voice)
+  DL_FOREACH (suspicions->voices, voice)
   {
     if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS
         && strcmp (voice->group, group) == 0
@@ -190,22 +193,22 @@
 }
 
 bool
-witness_hears (const struct witness *witness, const char *group,
+witness_hears (const struct suspicions *suspicions, const char *group,
                const char *instance, const char *host)
 {
-  const struct voice *voice = find_voice (witness, host, group);
+  const struct voice *voice = find_voice (suspicions, host, group);
   return voice != NULL
-         && kernel_now (witness->base.kernel) - voice->heard_ms
+         && kernel_now (suspicions->base.kernel) - voice->heard_ms
                 <= WITNESS_FRESH_MS
          && strcmp (voice->instance, instance) == 0;
 }
 
 bool
-witness_hears_any (const struct witness *witness)
+witness_hears_any (const struct suspicions *suspicions)
 {
-  clk_ms now_ms = kernel_now (witness->base.kernel);
+  clk_ms now_ms = kernel_now (suspicions->base.kernel);
   const struct voice *voice;
-  DL_FOREACH (witness->voices, voice)
+  DL_FOREACH (suspicions->voices, voice)
   {
     if (now_ms - voice->heard_ms <= WITNESS_FRESH_MS)
       return true;
@@ -216,46 +219,47 @@
 static void
 witness_free (struct module *module)
 {
-  struct witness *witness = (struct witness *)module;
+  struct suspicions *suspicions = (struct suspicions *)module;
   struct own_report *report, *next_report;
-  kernel_timer_cancel (module->kernel, &witness->tell);
-  HASH_ITER (hh, witness->reports, report, next_report)
+  kernel_timer_cancel (module->kernel, &suspicions->tell);
+  HASH_ITER (hh, suspicions->reports, report, next_report)
   {
-    HASH_DEL (witness->reports, report);
+    HASH_DEL (suspicions->reports, report);
     free (report);
   }
-  while (witness->voices != NULL)
+  while (suspicions->voices != NULL)
     {
-      struct voice *voice = witness->voices;
-      DL_DELETE (witness->voices, voice);
+      struct voice *voice = suspicions->voices;
+      DL_DELETE (suspicions->voices, voice);
       free (voice);
     }
-  free (witness);
+  free (suspicions);
 }
 
 static void
 witness_start (struct module *module)
 {
-  struct witness *witness = (struct witness *)module;
-  witness->hosts = (struct hosts *)kernel_find (module->kernel, "hosts");
-  hosts_handle (witness->hosts, PEER_KIND_SUSPICION, on_suspicion, witness);
+  struct suspicions *suspicions = (struct suspicions *)module;
+  suspicions->hosts = (struct hosts *)kernel_find (module->kernel, "hosts");
+  hosts_handle (suspicions->hosts, PEER_KIND_SUSPICION, on_suspicion,
+                suspicions);
 }
 
 static const struct module_ops witness_ops
     = { .start = witness_start, .free = witness_free };
 
-struct witness *
-witness_new (void)
+struct suspicions *
+suspicions_new (void)
 {
-  struct witness *witness = mem_zalloc (sizeof *witness);
-  witness->base.ops = &witness_ops;
-  witness->base.name = "witness";
-  witness->tell = (struct ktimer){ .fire = on_tell, .arg = witness };
-  return witness;
+  struct suspicions *suspicions = mem_zalloc (sizeof *suspicions);
+  suspicions->base.ops = &witness_ops;
+  suspicions->base.name = "witness";
+  suspicions->tell = (struct ktimer){ .fire = on_tell, .arg = suspicions };
+  return suspicions;
 }
 
 struct module *
-witness_module (struct witness *witness)
+suspicions_module (struct suspicions *suspicions)
 {
-  return &witness->base;
+  return &suspicions->base;
 }
--- a/src/proxy/witness.h
+++ b/src/proxy/suspicions.h
@@ -1,4 +1,4 @@
-/* witness - what hosts tell each other of primaries and of the store that
+/* suspicions - what hosts tell each other of primaries and of the store that
    they can't reach.
 
    While a host can't reach a primary, or the store, it tells the other hosts
@@ -6,7 +6,7 @@
    store is away or refuses some of the hosts.  What was heard counts for
    WITNESS_FRESH_MS.
 
-   Module name: "witness".  */
+   Module name: "suspicions".  */
 
 #ifndef SAVORYWAY_PROXY_WITNESS_H
 #define SAVORYWAY_PROXY_WITNESS_H
@@ -25,30 +25,30 @@
 /* In place of a group and an instance, for the store.  */
 #define WITNESS_STORE "store"
 
-struct witness;
+struct suspicions;
 
-struct witness *witness_new (void);
-struct module *witness_module (struct witness *witness);
+struct suspicions *suspicions_new (void);
+struct module *suspicions_module (struct suspicions *suspicions);
 
 /* HOST has the duty to promote: it is told in any case.  NULL: none has.  */
-void witness_set_holder (struct witness *witness, const char *host);
+void witness_set_holder (struct suspicions *suspicions, const char *host);
 
 /* This host can't reach INSTANCE of GROUP; NULL: it can.  */
-void witness_report (struct witness *witness, const char *group,
+void witness_report (struct suspicions *suspicions, const char *group,
                      const char *instance);
 
 /* Calls FN for each host whose report about INSTANCE is fresh, but not for
    this one.  */
-void witness_each (struct witness *witness, const char *group,
+void witness_each (struct suspicions *suspicions, const char *group,
                    const char *instance,
                    void (*fn) (void *arg, const char *host, const char *zone),
                    void *arg);
 
 /* Whether HOST's report about INSTANCE is fresh.  */
-bool witness_hears (const struct witness *witness, const char *group,
+bool witness_hears (const struct suspicions *suspicions, const char *group,
                     const char *instance, const char *host);
 
 /* Whether any report that was heard is fresh.  */
-bool witness_hears_any (const struct witness *witness);
+bool witness_hears_any (const struct suspicions *suspicions);
 
 #endif
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -14,9 +14,9 @@
 #include "port/promote_port.h"
 #include "proxy/caller.h"
 #include "proxy/catalog.h"
+#include "proxy/forwarded_sessions.h"
 #include "proxy/forwarder.h"
 #include "proxy/group.h"
-#include "proxy/guests.h"
 #include "proxy/hosts.h"
 #include "proxy/mirror.h"
 #include "proxy/placement.h"
@@ -24,7 +24,7 @@
 #include "proxy/relay.h"
 #include "proxy/revisions.h"
 #include "proxy/roster.h"
-#include "proxy/witness.h"
+#include "proxy/suspicions.h"
 
 #define FLEET_HOSTS 42
 #define FLEET_USUAL_HOSTS 6
@@ -85,7 +85,7 @@
   struct platform_port store;
   struct promote_port promote;
   struct hosts *others;
-  struct guests *guests;
+  struct forwarded_sessions *forwarded_sessions;
   bool peers_cut; /* from all other hosts */
   struct peer_port peers;
   peer_handler peer_handler;
--- a/tests/fleet/fleet_unit.h
+++ b/tests/fleet/fleet_unit.h
@@ -45,7 +45,7 @@
   uint64_t token;
   for (size_t i = 0; i < fleet->host_count; i++)
     if (fleet_host (fleet, i)->running
-        && roster_holds (fleet_host (fleet, i)->roster, &token))
+        && roster_holds_duty (fleet_host (fleet, i)->roster, &token))
       return fleet_host (fleet, i);
   ck_abort_msg ("no host has the duty");
 }
--- a/tests/fleet/fleet_world.c
+++ b/tests/fleet/fleet_world.c
@@ -171,7 +171,7 @@
   host->groups = groups_new (&groups);
   host->peer_handler = NULL;
   host->others = hosts_new (&hosts);
-  host->guests = guests_new ();
+  host->forwarded_sessions = forwarded_sessions_new ();
   host->roster = roster_new (&roster);
   host->promoter = promoter_new (&promoter);
   host->callers = callers_new ();
@@ -179,14 +179,15 @@
   kernel_register (host->kernel, hosts_module (host->others));
   kernel_register (host->kernel, placement_module (placement_new ()));
   kernel_register (host->kernel, groups_module (host->groups));
-  kernel_register (host->kernel, witness_module (witness_new ()));
+  kernel_register (host->kernel, suspicions_module (suspicions_new ()));
   kernel_register (host->kernel, relay_module (relay_new ()));
   kernel_register (host->kernel, revisions_new ());
   kernel_register (host->kernel, roster_module (host->roster));
   kernel_register (host->kernel, promoter_module (host->promoter));
   kernel_register (host->kernel, forwarder_module (forwarder_new ()));
   kernel_register (host->kernel, callers_module (host->callers));
-  kernel_register (host->kernel, guests_module (host->guests));
+  kernel_register (host->kernel,
+                   forwarded_sessions_module (host->forwarded_sessions));
   kernel_register (host->kernel, mirror_module (mirror_new (&host->store)));
   host->running = true;
   host->life++;
--- a/tests/fuzz/sim_parsers.c
+++ b/tests/fuzz/sim_parsers.c
@@ -47,7 +47,7 @@
 {
   struct session session;
   (void)size;
-  return session_open (&session, key, "team/service", "captain", text);
+  return session_decode (&session, key, "team/service", "captain", text);
 }
 
 static bool
@@ -102,10 +102,10 @@
   struct session session;
   char *token = mem_zalloc (TOKEN_LIMIT_BYTES);
   struct position seen = { .term = 3, .lsn = 4711 };
-  session_open (&session, key, "team/service", "captain", NULL);
-  session_see (&session, "team/service/db", seen);
-  session_print (&session, key, "team/service", "captain", token,
-                 TOKEN_LIMIT_BYTES);
+  session_decode (&session, key, "team/service", "captain", NULL);
+  session_advance (&session, "team/service/db", seen);
+  session_encode (&session, key, "team/service", "captain", token,
+                  TOKEN_LIMIT_BYTES);
   *size = strlen (token);
   return token;
 }
--- a/tests/unit/test_entry.c
+++ b/tests/unit/test_entry.c
@@ -96,9 +96,9 @@
   struct session session;
   const uint8_t key[TOKEN_KEY_BYTES] = { 7 };
   write_and_wait ("put k v", NULL);
-  ck_assert (session_open (&session, key, "t/s", "clerk", a.token));
-  ck_assert (!session_open (&session, key, "t/s", "other", a.token));
-  ck_assert (!session_open (&session, key, "t/x", "clerk", a.token));
+  ck_assert (session_decode (&session, key, "t/s", "clerk", a.token));
+  ck_assert (!session_decode (&session, key, "t/s", "other", a.token));
+  ck_assert (!session_decode (&session, key, "t/x", "clerk", a.token));
 }
 
 UNIT_TEST (test_same_request_id_gives_the_first_outcome_at_any_host)
@@ -192,7 +192,7 @@
 
 UNIT_TEST (test_weaker_rule_needs_a_recent_view)
 {
-  rig_set_view_age (rig, ACK_WINDOW_MS);
+  rig_set_view_age (rig, TERM_VIEW_MAX_AGE_MS);
   cut_primary ();
   rig_submit (rig, 0, &a, "note", "put k v", NULL, NULL, 500);
   rig_run (rig, 490);
@@ -288,7 +288,7 @@
 UNIT_TEST (test_strong_read_without_a_recent_view_needs_a_majority)
 {
   write_and_wait ("put k v", NULL);
-  rig_set_view_age (rig, ACK_WINDOW_MS);
+  rig_set_view_age (rig, TERM_VIEW_MAX_AGE_MS);
   EXPECT (OUTCOME_DONE, 1000, 0, &b, "exact", "get k", NULL, NULL, 0);
   ck_assert_str_eq (b.payload, "{\"value\": \"v\"}");
   cut_primary ();
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -304,7 +304,7 @@
   clk_ms claimed_ms = control.sim.clk.now_ms;
   while (platform_record ().state != TERM_ACTIVE)
     sim_run (&control.sim, 1);
-  ck_assert_int_ge (control.sim.clk.now_ms - claimed_ms, ACK_WINDOW_MS);
+  ck_assert_int_ge (control.sim.clk.now_ms - claimed_ms, TERM_VIEW_MAX_AGE_MS);
   check_writes_go_on (1000);
 }
 
--- a/tests/unit/test_forwarding.c
+++ b/tests/unit/test_forwarding.c
@@ -69,7 +69,9 @@
     run_session (fleet_host (fleet, i));
   fleet_run (fleet, 500);
   for (size_t i = 0; i < SCARCE_HOSTS; i++)
-    ck_assert_uint_eq (guests_count (fleet_host (fleet, i)->guests), 0);
+    ck_assert_uint_eq (
+        forwarded_sessions_count (fleet_host (fleet, i)->forwarded_sessions),
+        0);
   for (size_t i = 0; i < FLEET_INSTANCES; i++)
     ck_assert_uint_le (fleet_instance (fleet, i)->connections, 20);
 }
@@ -104,7 +106,8 @@
   ck_assert_int_eq (run (caller, STMT_BEGIN, NULL, NULL), CODE_OK);
   ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
   for (size_t i = 0; i < SCARCE_HOSTS; i++)
-    if (guests_count (fleet_host (fleet, i)->guests) > 0)
+    if (forwarded_sessions_count (fleet_host (fleet, i)->forwarded_sessions)
+        > 0)
       fleet_host_kill (fleet_host (fleet, i));
   ck_assert_int_eq (run (caller, STMT_READ, "a", NULL), CODE_ABORTED);
   ck_assert_int_eq (run (caller, STMT_ROLLBACK, NULL, NULL), CODE_OK);
@@ -112,13 +115,14 @@
 }
 
 static size_t
-count_guests (void)
+count_forwarded_sessions (void)
 {
-  size_t guests = 0;
+  size_t forwarded_sessions = 0;
   for (size_t i = 0; i < SCARCE_HOSTS; i++)
     if (fleet_host (fleet, i)->running)
-      guests += guests_count (fleet_host (fleet, i)->guests);
-  return guests;
+      forwarded_sessions += forwarded_sessions_count (
+          fleet_host (fleet, i)->forwarded_sessions);
+  return forwarded_sessions;
 }
 
 UNIT_TEST (test_a_forwarded_statement_ends_with_its_caller)
@@ -130,10 +134,10 @@
     fleet_instance (fleet, i)->busy_percent = 100;
   fleet_caller_send (caller, STMT_READ, "a", NULL);
   fleet_run (fleet, 10);
-  ck_assert_uint_eq (count_guests (), 1);
+  ck_assert_uint_eq (count_forwarded_sessions (), 1);
   fleet_caller_close (caller);
   fleet_run (fleet, 10);
-  ck_assert_uint_eq (count_guests (), 0);
+  ck_assert_uint_eq (count_forwarded_sessions (), 0);
 }
 
 UNIT_TEST (test_a_transaction_whose_entry_host_dies_is_ended)
@@ -145,8 +149,8 @@
   ck_assert_int_eq (run (caller, STMT_BEGIN, NULL, NULL), CODE_OK);
   ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
   fleet_host_kill (host);
-  fleet_run (fleet, 3000 + GUESTS_IDLE_MARGIN_MS + 100);
-  ck_assert_uint_eq (count_guests (), 0);
+  fleet_run (fleet, 3000 + FORWARDED_IDLE_MARGIN_MS + 100);
+  ck_assert_uint_eq (count_forwarded_sessions (), 0);
 }
 
 /* A burst: more come than the slots take.  */
@@ -172,7 +176,7 @@
 UNIT_PLAIN (test_a_few_statements_wait_where_nothing_ran_yet)
 {
   struct admission queue = { 0 };
-  for (size_t i = 0; i < ADMISSION_WAITING_FIRST; i++)
+  for (size_t i = 0; i < ADMISSION_QUEUE_DEFAULT; i++)
     ck_assert (admission_enter (&queue, 1000, 500));
   ck_assert (!admission_enter (&queue, 1000, 500));
 }
@@ -200,7 +204,7 @@
       late += fleet_caller_took_ms (callers[i]) >= 900;
     }
   /* The rate of a primary that refuses most is not known at first.  */
-  ck_assert_uint_le (late, ADMISSION_WAITING_FIRST);
+  ck_assert_uint_le (late, ADMISSION_QUEUE_DEFAULT);
   ck_assert_uint_gt (refused, 100);
   ck_assert_uint_gt (served, 0);
 }
@@ -283,7 +287,7 @@
           = (const struct relay *)kernel_find (host->kernel, "relay");
       uint64_t token;
       /* The holder of the duty follows the store itself.  */
-      if (!serves_others (i) && !roster_holds (host->roster, &token))
+      if (!serves_others (i) && !roster_holds_duty (host->roster, &token))
         ck_assert_ptr_null (relay_source (relay));
     }
 }
--- a/tests/unit/test_gateway.c
+++ b/tests/unit/test_gateway.c
@@ -96,9 +96,9 @@
   int taken = 0;
   for (int i = 0; i < 1000; i++)
     {
-      retry_budget_earn (&budget);
-      taken += retry_budget_take (&budget);
-      taken += retry_budget_take (&budget);
+      retry_budget_deposit (&budget);
+      taken += retry_budget_withdraw (&budget);
+      taken += retry_budget_withdraw (&budget);
     }
   ck_assert_int_le (taken, 1000 * RETRY_SHARE_PERCENT / 100 + RETRY_BURST);
   ck_assert_int_ge (taken, 1000 * RETRY_SHARE_PERCENT / 100);
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -302,11 +302,11 @@
   struct fleet_host *holder = duty_holder ();
   fleet_store_down (fleet, true);
   fleet_run (fleet, 4000);
-  ck_assert (roster_holds (holder->roster, &token));
-  roster_yield (holder->roster, "refused");
-  ck_assert (!roster_holds (holder->roster, &token));
+  ck_assert (roster_holds_duty (holder->roster, &token));
+  roster_resign_duty (holder->roster, "refused");
+  ck_assert (!roster_holds_duty (holder->roster, &token));
   fleet_run (fleet, 3000);
-  ck_assert (!roster_holds (holder->roster, &token));
+  ck_assert (!roster_holds_duty (holder->roster, &token));
   fleet_store_down (fleet, false);
 }
 
@@ -369,7 +369,7 @@
   size_t holders = 0;
   for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
     holders += fleet_host (fleet, i)->running
-               && roster_holds (fleet_host (fleet, i)->roster, &token);
+               && roster_holds_duty (fleet_host (fleet, i)->roster, &token);
   ck_assert_uint_eq (holders, 1);
   ck_assert_uint_gt (token, first);
 }
@@ -392,7 +392,7 @@
   uint64_t token;
   for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
     fleet_host (fleet, i)->store_cut
-        = !roster_holds (fleet_host (fleet, i)->roster, &token);
+        = !roster_holds_duty (fleet_host (fleet, i)->roster, &token);
   fleet_run (fleet, 4000);
   fleet_instance (fleet, 0)->dark = true;
   write_gap_ms (fleet_host (fleet, 1));
@@ -405,7 +405,7 @@
   struct fleet_host *holder = duty_holder ();
   holder->store_cut = true;
   fleet_run (fleet, ROSTER_DUTY_LEASE_MS + 100);
-  ck_assert (!roster_holds (holder->roster, &token));
+  ck_assert (!roster_holds_duty (holder->roster, &token));
 }
 
 UNIT_TEST (test_a_report_ends_with_the_process_that_made_it)
@@ -415,13 +415,13 @@
   host->cut[0] = true;
   fleet_run (fleet, 5000);
   ck_assert_uint_eq (
-      roster_reports (other, FLEET_GROUP, "i-0").hosts_reporting, 1);
+      roster_count_reports (other, FLEET_GROUP, "i-0").hosts_reporting, 1);
   fleet_host_kill (host);
   host->cut[0] = false;
   fleet_host_start (host);
   fleet_run (fleet, 2500);
   ck_assert_uint_eq (
-      roster_reports (other, FLEET_GROUP, "i-0").hosts_reporting, 0);
+      roster_count_reports (other, FLEET_GROUP, "i-0").hosts_reporting, 0);
 }
 
 /* The leases of processes that lost power end after their successors have
@@ -564,15 +564,15 @@
   struct samples samples = { 0 };
   struct position floor;
   for (uint64_t i = 1; i <= 30; i++)
-    samples_note (&samples, (struct position){ 1, i },
-                  (clk_ms)(1000 + 100 * i));
+    samples_add (&samples, (struct position){ 1, i },
+                 (clk_ms)(1000 + 100 * i));
   ck_assert (samples_floor (&samples, 2500, &floor));
   ck_assert_uint_eq (floor.lsn, 15);
   ck_assert (!samples_floor (&samples, 4001, &floor));
-  samples_note (&samples, (struct position){ 2, 20 }, 4100);
+  samples_add (&samples, (struct position){ 2, 20 }, 4100);
   ck_assert (samples_floor (&samples, 2500, &floor));
   ck_assert_uint_eq (floor.term, 2);
-  samples_note (&samples, (struct position){ 1, 99 }, 4200);
+  samples_add (&samples, (struct position){ 1, 99 }, 4200);
   ck_assert_uint_eq (samples_newest (&samples).term, 2);
 }
 
--- a/tests/unit/test_session.c
+++ b/tests/unit/test_session.c
@@ -12,14 +12,14 @@
 print (void)
 {
   ck_assert (
-      session_print (&session, key, "t/s", "clerk", token, sizeof token));
+      session_encode (&session, key, "t/s", "clerk", token, sizeof token));
 }
 
 static void
 see (const char *database, uint64_t term, uint64_t lsn)
 {
   struct position position = { .term = term, .lsn = lsn };
-  session_see (&session, database, position);
+  session_advance (&session, database, position);
 }
 
 UNIT_TEST (test_positions_only_advance)
@@ -30,7 +30,7 @@
   see ("t/s/b", 2, 5);
   see ("t/s/b", 1, 500);
   print ();
-  ck_assert (session_open (&read_back, key, "t/s", "clerk", token));
+  ck_assert (session_decode (&read_back, key, "t/s", "clerk", token));
   ck_assert_uint_eq (session_position (&read_back, "t/s/a").lsn, 100);
   ck_assert_uint_eq (session_position (&read_back, "t/s/b").term, 2);
   ck_assert_uint_eq (session_position (&read_back, "t/s/b").lsn, 5);
@@ -46,12 +46,12 @@
     {
       char was = token[i];
       token[i] = was == 'A' ? 'B' : 'A';
-      ck_assert (!session_open (&read_back, key, "t/s", "clerk", token));
+      ck_assert (!session_decode (&read_back, key, "t/s", "clerk", token));
       token[i] = was;
     }
   token[strlen (token) - 4] = '\0';
-  ck_assert (!session_open (&read_back, key, "t/s", "clerk", token));
-  ck_assert (!session_open (&read_back, key, "t/s", "clerk", "?"));
+  ck_assert (!session_decode (&read_back, key, "t/s", "clerk", token));
+  ck_assert (!session_decode (&read_back, key, "t/s", "clerk", "?"));
 }
 
 UNIT_TEST (test_token_of_another_caller_service_or_key_is_refused)
@@ -59,10 +59,10 @@
   memset (&session, 0, sizeof session);
   see ("t/s/a", 1, 100);
   print ();
-  ck_assert (session_open (&read_back, key, "t/s", "clerk", token));
-  ck_assert (!session_open (&read_back, key, "t/s", "clerk2", token));
-  ck_assert (!session_open (&read_back, key, "t/s2", "clerk", token));
-  ck_assert (!session_open (&read_back, other_key, "t/s", "clerk", token));
+  ck_assert (session_decode (&read_back, key, "t/s", "clerk", token));
+  ck_assert (!session_decode (&read_back, key, "t/s", "clerk2", token));
+  ck_assert (!session_decode (&read_back, key, "t/s2", "clerk", token));
+  ck_assert (!session_decode (&read_back, other_key, "t/s", "clerk", token));
 }
 
 UNIT_TEST (test_full_session_keeps_all_it_has_and_fits_its_limit)
@@ -79,7 +79,7 @@
   ck_assert (session_has_room (&session, "t/s/d3"));
   see ("t/s/one-more", 9, 9);
   print ();
-  ck_assert (session_open (&read_back, key, "t/s", "clerk", token));
+  ck_assert (session_decode (&read_back, key, "t/s", "clerk", token));
   for (unsigned i = 0; i < SESSION_DATABASES; i++)
     {
       snprintf (name, sizeof name, "t/s/d%u", i);
