--- a/src/cli/proxy_report.c
+++ b/src/cli/proxy_report.c
@@ -24,7 +24,8 @@
   struct catalog *catalog = (struct catalog *)kernel_find (kernel, "catalog");
   struct groups *groups = (struct groups *)kernel_find (kernel, "groups");
   struct forwarded_sessions *forwarded_sessions
-      = (struct forwarded_sessions *)kernel_find (kernel, "guests");
+      = (struct forwarded_sessions *)kernel_find (kernel,
+                                                  "forwarded_sessions");
   struct hosts *hosts = (struct hosts *)kernel_find (kernel, "hosts");
   struct mirror *mirror = (struct mirror *)kernel_find (kernel, "mirror");
   struct roster *roster = (struct roster *)kernel_find (kernel, "roster");
--- a/src/proxy/admission.c
+++ b/src/proxy/admission.c
@@ -1,10 +1,10 @@
 #include "proxy/admission.h"
 
-/* Weight of the newest span in the rate.  */
+/* Weight of the newest span in the moving average of the rate.  */
 #define SPAN_WEIGHT 0.4
 
-/* Ends the span.  What ran while nothing waited tells nothing of how much
-   can run.  */
+/* Ends the span if it is over, and updates the rate.  Spans in which nothing
+   waited are left out, since they don't show the possible rate.  */
 static void
 end_span (struct admission *admission, clk_ms now_ms)
 {
--- a/src/proxy/admission.h
+++ b/src/proxy/admission.h
@@ -1,10 +1,11 @@
-/* admission - whether a statement that was refused for want of a slot waits.
+/* admission - decides whether a statement waits for a slot or is refused.
 
-   Counts the statements that wait for the slots of a group here, and how many
-   run while some wait.  Their quotient is what one more has to expect; one
-   that would miss its target is refused at once, so that those that wait are
-   served in time.  At a burst a queue without this bound makes every
-   statement late, also long after the burst.  */
+   Counts the statements of this host that wait for slots of a group, and
+   measures the rate at which statements complete while some wait.  The number
+   of those that wait divided by that rate is the expected waiting time.  A
+   statement that would exceed its time limit is refused at once, so that the
+   others are served in time.  Without this bound a burst makes every
+   statement late, even long after the burst.  */
 
 #ifndef SAVORYWAY_PROXY_ADMISSION_H
 #define SAVORYWAY_PROXY_ADMISSION_H
@@ -14,28 +15,29 @@
 
 #include "kernel/clock.h"
 
-/* Statements that ran are counted over such spans.  */
+/* The rate is measured over spans of this length.  */
 #define ADMISSION_SPAN_MS 200
 
-/* So many may wait in any case, and so many while no rate is known.  */
+/* Numbers of waiting statements below which another one is admitted: always,
+   and while no rate is known.  */
 #define ADMISSION_QUEUE_MIN 3
 #define ADMISSION_QUEUE_DEFAULT 32
 
-/* Zero-initialised: nothing waits, and no rate is known.  */
+/* Valid when zero-initialised: nothing waits, and no rate is known.  */
 struct admission
 {
   clk_ms span_begin_ms;
-  uint32_t ran;       /* in this span */
-  bool busy;          /* some waited when it began */
-  double rate_per_ms; /* rate while some wait; 0: not known */
+  uint32_t ran;       /* completed in this span */
+  bool busy;          /* some waited when the span began */
+  double rate_per_ms; /* completions while some wait; 0: unknown */
   uint32_t waiting;
 };
 
-/* A statement ran.  */
+/* Counts a statement that completed.  */
 void admission_note_ran (struct admission *admission, clk_ms now_ms);
 
-/* Whether a statement that may wait for LEFT_MS waits; if so it counts until
-   admission_leave.  */
+/* Returns whether a statement that may wait for LEFT_MS is admitted.  It then
+   counts as waiting until admission_leave.  */
 bool admission_enter (struct admission *admission, clk_ms now_ms,
                       clk_ms left_ms);
 void admission_leave (struct admission *admission);
--- a/src/proxy/backend.c
+++ b/src/proxy/backend.c
@@ -22,7 +22,6 @@
   return kernel_log (backend->options.kernel);
 }
 
-/* Connections that stay open without use.  */
 uint32_t
 backend_idle_target (const struct backend *backend)
 {
@@ -36,7 +35,7 @@
     kernel_timer_set (backend->options.kernel, &backend->tick, due_ms);
 }
 
-/* Sends those who wait for a connection elsewhere.  */
+/* Calls lost for all waiting users, so that they try another instance.  */
 static void
 fail_waiters (struct backend *backend)
 {
@@ -48,7 +47,6 @@
     }
 }
 
-/* Something was heard: the instance lives and reaches this host.  */
 void
 backend_note_answer (struct backend *backend)
 {
@@ -87,7 +85,7 @@
   backend->options.changed (backend->options.arg, backend);
 }
 
-/* Opens connections for who waits, within the timeout.  */
+/* Opens connections for waiting users, up to the share of this host.  */
 static void
 open_needed (struct backend *backend)
 {
@@ -108,8 +106,9 @@
     conn_open (backend);
 }
 
-/* Returns the idle connection that needs the least set-up for HASH; the one
-   used last among equals, so that the spare ones grow old.  */
+/* Returns the idle connection that needs the least set-up for HASH.  Among
+   equals it is the one used last, so that the others reach
+   BACKEND_SPARE_IDLE_MS.  */
 static struct backend_conn *
 best_idle (struct backend *backend, uint64_t hash)
 {
@@ -189,7 +188,8 @@
     open_needed (backend);
 }
 
-/* Closes idle connections above those that are kept.  */
+/* Closes connections above backend_idle_target that have been idle for
+   BACKEND_SPARE_IDLE_MS.  */
 static void
 close_spare (struct backend *backend)
 {
@@ -215,7 +215,7 @@
     backend_arm_tick (backend, backend_now (backend) + BACKEND_SPARE_IDLE_MS);
 }
 
-/* A probe: BEGIN, then ROLLBACK.  Neither takes a slot.  */
+/* A probe is a BEGIN, then a ROLLBACK.  Neither takes a slot.  */
 
 static void
 probe_send (struct backend *backend, struct backend_conn *conn)
@@ -264,8 +264,8 @@
                                                 .answered = probe_answered,
                                                 .lost = probe_lost };
 
-/* A probe that is not answered in time: its connection is given up, so that
-   the next one uses another.  */
+/* Closes the connection of a probe that was not answered in time, so that the
+   next probe uses another one.  */
 static void
 check_probe (struct backend *backend)
 {
@@ -277,7 +277,7 @@
   clk_ms asked_ms = backend->probe_ms;
   conn_close (conn);
   if (backend->last_answer_ms > asked_ms)
-    return; /* only this connection is silent */
+    return; /* only this connection has failed */
   if (backend->probe_unanswered_ms == CLK_NEVER)
     backend->probe_unanswered_ms = asked_ms;
   if (!was_usable)
@@ -309,8 +309,7 @@
          && backend->probe_unanswered_ms == CLK_NEVER;
 }
 
-/* When the oldest statement without answer was sent; CLK_NEVER if there is
-   none.  */
+/* Returns when the oldest statement in flight was sent, or CLK_NEVER.  */
 static clk_ms
 oldest_unanswered_ms (const struct backend *backend)
 {
@@ -381,7 +380,7 @@
   return &backend->entry;
 }
 
-/* Closes the idle connections, and those in use once they are given.  */
+/* Closes the connections that are idle or being opened.  */
 static void
 close_idle (struct backend *backend)
 {
@@ -408,8 +407,7 @@
     }
 }
 
-/* Ends what this host has with the instance; what runs on a connection is
-   answered first.  */
+/* Closes all connections; those in use are closed when they are released.  */
 static void
 release_instance (struct backend *backend)
 {
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -1,11 +1,19 @@
-/* backend - an instance as this host sees it, and its connections here.
+/* backend - an instance as seen by this host, with a pool of connections.
 
-   A connection is opening, idle, owned by one user, or being cleaned.  It
-   goes back to idle only after the instance said that no transaction is open
-   on it and nothing is outstanding; otherwise it is closed, so that a late
-   answer or an open transaction reaches nobody else.  Statements sent to set
-   a connection up are answered before the statement that needs them is sent:
-   one that was refused must not let the next one run under other values.  */
+   A backend keeps connections to one instance, limits their number to this
+   host's share, queues users that wait for one, and checks by probes whether
+   the instance answers.
+
+   A connection is being opened, idle, owned by one user, or being cleaned.
+   It becomes idle again only after the instance has reported that no
+   transaction is open on it and all statements are answered; otherwise it is
+   closed.  So a late answer or an open transaction can't reach another user.
+
+   The statements that set a connection up are answered before the statement
+   that needs them is sent: otherwise it could run with the wrong values after
+   one of them was refused.
+
+   Users embed a struct conn_user and get callbacks through its ops.  */
 
 #ifndef SAVORYWAY_PROXY_BACKEND_H
 #define SAVORYWAY_PROXY_BACKEND_H
@@ -15,68 +23,78 @@
 #include "proxy/catalog.h"
 #include "proxy/values.h"
 
-/* Connections kept open to an instance without use.  */
+/* Connections that are kept open to an instance while none is in use.  */
 #define BACKEND_MIN_CONNECTIONS 1
 
-/* Opened at a time: each takes a slot of the instance for a while.  */
+/* Maximum number of connections that are opened at the same time.  Opening
+   one takes a slot of the instance for a while.  */
 #define BACKEND_OPENING_LIMIT 1
 
-/* Connections of an instance that no host counts on: those of hosts that
-   were replaced linger for seconds.  */
+/* Connections of an instance that the shares of the hosts leave free.  An
+   instance counts the connections of replaced hosts for some seconds.  */
 #define BACKEND_RESERVED_CONNECTIONS 4
 
 #define BACKEND_CONNECT_TIMEOUT_MS 600
+
+/* Backoff between failed attempts to connect: first and longest delay.  */
 #define BACKEND_RETRY_FIRST_MS 40
 #define BACKEND_RETRY_LAST_MS 400
-/* After a refusal as the instance has no connection left.  */
+
+/* Retry delay after a refusal with CODE_TOOMANY.  */
 #define BACKEND_TOOMANY_RETRY_MS 150
 
-/* An idle connection above half of the fair share is closed after this:
-   after a loss of power the instance counts those of before for seconds,
-   and the hosts that return need the other half.  */
+/* Idle time after which a connection above half of the fair share is closed.
+   After a power failure the instance counts the previous connections for some
+   seconds, and the returning hosts need the other half of the share.  */
 #define BACKEND_SPARE_IDLE_MS 1500
 
-/* A connection whose transaction is not ended in this time is closed, and
-   one whose last statement is not answered in the second.  */
+/* Time limits for cleaning a connection that was released: to roll back its
+   transaction, and to receive the answer of its last statement.  The
+   connection is closed when one is exceeded.  */
 #define BACKEND_ROLLBACK_TIMEOUT_MS 400
 #define BACKEND_LATE_ANSWER_TIMEOUT_MS 3000
 
-/* An unanswered statement makes an instance suspect after this; a probe
-   takes no slot, so its timeout is the shorter one.  */
+/* An instance is probed when a statement has no answer after this time.  */
 #define BACKEND_ANSWER_TIMEOUT_MS 250
+
+/* Timeout of a probe, which takes no slot and thus doesn't wait for one.  */
 #define BACKEND_PROBE_TIMEOUT_MS 250
 
-#define BACKEND_PREPARED_LIMIT 64 /* prepared on a connection */
+/* Maximum number of prepared statements on a connection.  */
+#define BACKEND_PREPARED_LIMIT 64
 
-/* What an answer belongs to.  */
+/* Purpose of a statement; passed on with its answer.  */
 enum conn_step
 {
   STEP_SETUP, /* RESET, SET, PREPARE */
   STEP_BEGIN,
-  STEP_MAIN,
-  STEP_END /* the proxy's own end of a transaction */
+  STEP_MAIN, /* the statement of the user */
+  STEP_END   /* ROLLBACK sent by the proxy */
 };
 
 struct backend;
 struct backend_conn;
 struct conn_user;
 
+/* Callbacks of a user.  */
 struct conn_user_ops
 {
+  /* CONN is now owned by USER, which has waited for it.  */
   void (*granted) (struct conn_user *user, struct backend_conn *conn);
+  /* CONN has received the ANSWER to a statement that was sent with STEP.  */
   void (*answered) (struct conn_user *user, struct backend_conn *conn,
                     enum conn_step step, const struct answer *answer);
-  /* The connection is gone; STEP of the oldest statement without answer.  */
+  /* The connection is closed, or the backend can't provide one.  */
   void (*lost) (struct conn_user *user);
 };
 
-/* Who owns or waits for a connection; embedded by its users.  */
+/* A user of connections; embedded in the type that owns or waits for one.  */
 struct conn_user
 {
   const struct conn_user_ops *ops;
-  struct backend *waits_for;
-  uint32_t priority; /* 0 is served first */
-  uint64_t values_hash;
+  struct backend *waits_for; /* NULL: not waiting */
+  uint32_t priority;         /* 0 is the highest */
+  uint64_t values_hash;      /* prefers a connection with these values */
   struct conn_user *prev;
   struct conn_user *next;
 };
@@ -86,88 +104,108 @@
   struct kernel *kernel;
   struct instance_port *port;
   const struct instance_entry *entry;
-  /* Called when a proven or refuted claim to lead, or a sign of life or of
-     silence, was seen.  */
+  /* The instance has become usable or unusable.  */
   void (*changed) (void *arg, struct backend *backend);
-  /* A plain BEGIN sent at ASKED_MS was accepted with POSITION.  */
+  /* The instance accepted a BEGIN sent at ASKED_MS, so it is the primary.
+     Its log has reached POSITION.  */
   void (*proven) (void *arg, struct backend *backend, struct position position,
                   clk_ms asked_ms);
-  /* It was refused: the instance does not lead.  */
+  /* The instance refused a BEGIN, as it is not the primary.  */
   void (*refuted) (void *arg, struct backend *backend);
   void *arg;
 };
 
 struct backend *backend_new (const struct backend_options *options);
-/* Closes all connections; their users get lost.  */
+/* Closes all connections and calls lost for their users, and for those that
+   wait.  */
 void backend_free (struct backend *backend);
 
+/* Configuration entry of the instance.  */
 const struct instance_entry *backend_entry (const struct backend *backend);
+/* Replaces the entry.  Idle connections are closed if the address has changed
+   or the instance was recreated.  */
 void backend_set_entry (struct backend *backend,
                         const struct instance_entry *entry);
 
-/* Sets the fair share of connections of this host, its timeout; 0: it has
-   none.  */
+/* Sets the fair share of this host: the maximum number of its connections.
+   With 0 all connections are closed; those in use when they are released.  */
 void backend_set_share (struct backend *backend, uint32_t share);
 
-/* Opens what is kept open without use.  */
+/* Opens connections up to BACKEND_MIN_CONNECTIONS.  */
 void backend_fill_pool (struct backend *backend);
 
-/* Returns a connection now owned by USER, or NULL: then granted follows
-   when one is free, until backend_cancel.  */
+/* Returns an idle connection, which USER owns until conn_release.  If there is
+   none, returns NULL and queues USER: its granted or lost callback is called
+   later, unless backend_cancel removes it from the queue.  */
 struct backend_conn *backend_acquire (struct backend *backend,
                                       struct conn_user *user);
 void backend_cancel (struct conn_user *user);
 
-/* Asks the instance whether it leads and where its log is; takes no slot.
-   Does nothing while an earlier probe is under way.  */
+/* Starts a probe: a BEGIN, which only the primary accepts, and a ROLLBACK.
+   It takes no slot of the instance.  Does nothing while an earlier probe is in
+   flight.  */
 void backend_probe (struct backend *backend);
 
-/* Probes the instance if it has been silent for too long.  */
+/* Probes the instance if it is unusable, or has not answered a statement for
+   BACKEND_ANSWER_TIMEOUT_MS.  */
 void backend_check (struct backend *backend);
 
-/* Whether it is not known to be unreachable or silent.  */
+/* Returns false if the last attempt to connect failed, or a probe was not
+   answered in time, and the instance has not answered since.  */
 bool backend_usable (const struct backend *backend);
 
-/* When the instance last answered anything.  */
+/* Time of the last answer of the instance.  */
 clk_ms backend_last_answer_ms (const struct backend *backend);
 
+/* Position that the instance reported last.  */
 struct position backend_position (const struct backend *backend);
+/* Numbers of connections: with statements in flight, established, idle.  */
 uint32_t backend_busy (const struct backend *backend);
 uint32_t backend_open_connections (const struct backend *backend);
 uint32_t backend_idle (const struct backend *backend);
+/* Users that wait for a connection.  */
 uint32_t backend_waiting (const struct backend *backend);
 
-/* Mean time of a statement here, queue at the instance included.  */
+/* Moving average of the latency of statements, in ms.  It includes the time
+   in the queue of the instance.  */
 double backend_mean_latency_ms (const struct backend *backend);
-/* Share of recent statements refused for want of a slot, 0 to 1.  */
+/* Moving average of the share of statements, 0 to 1, that the instance refused
+   as it had no free slot.  */
 double backend_refusal_share (const struct backend *backend);
+/* Updates both averages with a statement that was answered.  */
 void backend_note_latency (struct backend *backend, clk_ms latency_ms,
                            bool refused);
 
 struct backend *conn_backend (const struct backend_conn *conn);
 
-/* Sends what makes CONN have VALUES and the prepared statement of KIND and
-   SHAPE (NULL for none).  Returns whether anything was sent.  */
+/* Sends the statements that bring CONN to VALUES, and that prepare the
+   statement of KIND and SHAPE (NULL: none).  Returns whether any was
+   sent.  */
 bool conn_set_up (struct backend_conn *conn, const struct values *values,
                   enum stmt_kind kind, const char *shape);
 
-/* Sends one value to a connection inside a transaction.  */
+/* Sends a SET of NAME to a connection on which a transaction is open.  VALUES
+   already includes it.  */
 void conn_set_value (struct backend_conn *conn, const struct values *values,
                      const char *name, const char *value);
 
-/* Name under which KIND and SHAPE are prepared on every connection.  */
+/* Writes the name under which the statement of KIND and SHAPE is prepared on
+   every connection.  */
 void conn_statement_name (enum stmt_kind kind, const char *shape, char *out,
                           size_t size);
 
+/* Sends STATEMENT.  The instance runs it only if its log has reached AFTER,
+   unless that is NULL.  */
 void conn_send (struct backend_conn *conn, enum conn_step step,
                 const struct statement *statement,
                 const struct position *after);
 
-/* Statements sent and not answered.  */
+/* Number of statements in flight.  */
 uint32_t conn_outstanding (const struct backend_conn *conn);
 enum tx_state conn_state (const struct backend_conn *conn);
 
-/* Hands CONN back; it is cleaned first where that is needed.  */
+/* Returns CONN to the pool, after rolling back a transaction that is open on
+   it.  */
 void conn_release (struct backend_conn *conn);
 
 #endif
--- a/src/proxy/backend_conn.c
+++ b/src/proxy/backend_conn.c
@@ -1,4 +1,4 @@
-/* The connections of a backend.  */
+/* Connections of a backend: opening, set-up, cleaning.  */
 
 #include "proxy/backend_impl.h"
 
@@ -26,7 +26,7 @@
   conn->statement_count = 0;
 }
 
-/* Forgets CONN, whose link is closed.  */
+/* Frees CONN, whose link is closed.  */
 static void
 conn_free (struct backend_conn *conn)
 {
@@ -50,7 +50,7 @@
   conn_free (conn);
 }
 
-/* Makes CONN idle and passes it to who waits.  */
+/* Makes CONN idle, and assigns it to a waiting user if there is one.  */
 static void
 conn_idle (struct backend_conn *conn)
 {
@@ -81,7 +81,7 @@
   conn_idle (conn);
 }
 
-/* Whether CONN may serve another user.  */
+/* Returns whether CONN may be assigned to another user.  */
 static bool
 conn_is_clean (const struct backend_conn *conn)
 {
@@ -89,7 +89,8 @@
          && (conn->state == TX_IDLE || MUTANT (reuse_open_transaction));
 }
 
-/* Makes CONN idle, or ends the transaction that is open on it.  */
+/* Makes CONN idle if it is clean.  Otherwise rolls back its transaction, once
+   nothing is in flight.  */
 static void
 clean (struct backend_conn *conn)
 {
@@ -112,7 +113,7 @@
   struct backend *backend = conn->backend;
   if (conn->pending_count == 0)
     {
-      log_event (backend_log (backend), LOG_WARNING, "answer_to_nothing",
+      log_event (backend_log (backend), LOG_WARNING, "unexpected_answer",
                  LOG_S ("instance", backend->entry.id));
       struct conn_user *user = conn->user;
       conn_close (conn);
@@ -131,7 +132,8 @@
     backend->options.refuted (backend->options.arg, backend);
   if (pending.step == STEP_SETUP && answer->code != CODE_OK)
     {
-      /* What holds on it is unknown: the next user resets it.  */
+      /* Its values are unknown: the set-up for the next user starts with
+         RESET.  */
       conn->values_hash = UINT64_MAX;
       forget_statements (conn);
     }
@@ -157,7 +159,7 @@
   conn_free (conn);
   if (was_opening && code == CODE_TOOMANY)
     {
-      /* The instance lives; others hold its connections.  */
+      /* The instance is alive; other hosts use its connections.  */
       backend_note_answer (backend);
       backend->failures++;
       backend->retry_ms = backend_now (backend) + BACKEND_TOOMANY_RETRY_MS;
@@ -174,7 +176,7 @@
 static const struct instance_events events
     = { .opened = on_opened, .answer = on_answer, .closed = on_closed };
 
-/* A connection could not be opened or cleaned in time.  */
+/* Closes a connection that was not opened or cleaned in time.  */
 static void
 on_timeout (void *arg)
 {
@@ -223,7 +225,7 @@
   struct backend *backend = conn->backend;
   uint32_t place = (conn->pending_head + conn->pending_count) % PENDING_LIMIT;
   if (conn->pending_count == PENDING_LIMIT)
-    abort (); /* set-up is bounded by VALUES_LIMIT */
+    abort (); /* VALUES_LIMIT bounds the set-up */
   conn->pending[place]
       = (struct pending_answer){ step, backend_now (backend) };
   conn->pending_count++;
--- a/src/proxy/backend_impl.h
+++ b/src/proxy/backend_impl.h
@@ -1,12 +1,12 @@
-/* backend_impl - what the files of the backend share.  */
+/* backend_impl - internal types and functions of the backend.  */
 
 #ifndef SAVORYWAY_PROXY_BACKEND_IMPL_H
 #define SAVORYWAY_PROXY_BACKEND_IMPL_H
 
 #include "proxy/backend.h"
 
-/* Statements of one connection without an answer; only set-up is sent in
-   numbers.  */
+/* Maximum number of statements in flight on a connection.  Only set-up
+   statements are pipelined, and these are bounded by VALUES_LIMIT.  */
 #define PENDING_LIMIT 160
 
 enum conn_phase
@@ -14,9 +14,10 @@
   CONN_OPENING,
   CONN_IDLE,
   CONN_OWNED,
-  CONN_CLEANING /* without a user, until it may be idle */
+  CONN_CLEANING /* released, but not yet reusable */
 };
 
+/* A statement in flight.  */
 struct pending_answer
 {
   enum conn_step step;
@@ -30,14 +31,14 @@
   enum conn_phase phase;
   struct conn_user *user;
   enum tx_state state;
-  uint64_t values_hash;
+  uint64_t values_hash; /* of the values set on it; UINT64_MAX: unknown */
   size_t statement_count;
   char *statements[BACKEND_PREPARED_LIMIT];
-  struct pending_answer pending[PENDING_LIMIT];
+  struct pending_answer pending[PENDING_LIMIT]; /* ring, oldest first */
   uint32_t pending_head;
   uint32_t pending_count;
-  clk_ms since_ms; /* of the phase */
-  struct ktimer timeout;
+  clk_ms since_ms;       /* start of the phase */
+  struct ktimer timeout; /* of opening or cleaning */
   struct backend_conn *prev;
   struct backend_conn *next;
 };
@@ -54,10 +55,10 @@
   uint32_t waiting;
   struct position position;
   clk_ms last_answer_ms;
-  clk_ms connect_failed_since_ms; /* connections refused or unanswered */
-  clk_ms probe_unanswered_ms;
-  uint32_t failures;
-  clk_ms retry_ms;
+  clk_ms connect_failed_since_ms; /* CLK_NEVER: usable */
+  clk_ms probe_unanswered_ms;     /* likewise */
+  uint32_t failures;              /* consecutive failures to connect */
+  clk_ms retry_ms;                /* no attempt to connect before */
   struct ktimer tick;
   struct conn_user probe_user;
   struct backend_conn *probe_conn;
@@ -70,14 +71,15 @@
 /* backend.c */
 clk_ms backend_now (const struct backend *backend);
 struct log *backend_log (const struct backend *backend);
-/* Connections that stay open without use.  */
+/* Returns how many connections are kept open while idle.  */
 uint32_t backend_idle_target (const struct backend *backend);
-/* Looks after the connections at DUE_MS, or before.  */
+/* Schedules the maintenance of the connections for DUE_MS or earlier.  */
 void backend_arm_tick (struct backend *backend, clk_ms due_ms);
-/* Something was heard, or a connection was refused or not answered.  */
+/* Records that the instance answered, or that a connection was refused or
+   timed out.  */
 void backend_note_answer (struct backend *backend);
 void backend_note_connect_failure (struct backend *backend);
-/* Passes idle connections to who waits.  */
+/* Assigns idle connections to waiting users.  */
 void backend_serve_waiters (struct backend *backend);
 
 /* backend_conn.c */
--- a/src/proxy/caller.c
+++ b/src/proxy/caller.c
@@ -39,7 +39,7 @@
   struct kernel *kernel = caller->callers->base.kernel;
   bool ok = answer->code == CODE_OK;
   if (ok && run->attempts <= 1)
-    return; /* plain successes are summed by the metrics */
+    return; /* counted by the metrics only */
   log_event (kernel_log (kernel), LOG_INFO, "answer", LOG_S ("id", run->id),
              LOG_S ("database", caller->database),
              LOG_S ("code", code_name (answer->code)),
@@ -156,7 +156,8 @@
     {
       caller->tx = TX_FAILED;
       caller_run_stop (caller);
-      caller_finish_code (caller, CODE_MALFORMED, "in a transaction already");
+      caller_finish_code (caller, CODE_MALFORMED,
+                          "a transaction is already open");
       return;
     }
   if (route == NULL)
@@ -174,7 +175,7 @@
   caller_finish_code (caller, CODE_OK, NULL);
 }
 
-/* Answers a statement in a transaction that has failed.  */
+/* Answers a statement of a transaction that has failed.  */
 static void
 submit_failed (struct caller *caller, enum stmt_kind kind)
 {
@@ -272,7 +273,8 @@
     case STMT_COMMIT:
       if (caller->tx != TX_OPEN)
         {
-          caller_finish_code (caller, CODE_MALFORMED, "no transaction");
+          caller_finish_code (caller, CODE_MALFORMED,
+                              "no transaction is open");
           return;
         }
       submit_run (caller, statement);
@@ -289,8 +291,8 @@
     }
 }
 
-/* Ends a transaction that has been idle for too long; the caller is told at
-   its next statement.  */
+/* Ends a transaction at its idle timeout.  The next statement of the caller
+   reports the failure.  */
 static void
 on_idle_timeout (void *arg)
 {
@@ -339,7 +341,8 @@
   return caller;
 }
 
-/* The caller has left, or its host gives the statement up: nobody is told.  */
+/* Logs a statement that is cancelled by the close of its session: the caller
+   has disconnected, or the host that forwarded it has given it up.  */
 static void
 log_abandoned (const struct caller *caller)
 {
--- a/src/proxy/caller.h
+++ b/src/proxy/caller.h
@@ -25,8 +25,8 @@
 /* Maximum number of instances that one read is tried on.  */
 #define CALLER_TRIED_LIMIT 6
 
-/* Backoff after a refusal because the instance had no free slot, multiplied
-   by the number of attempts.  */
+/* Backoff after a refusal because the instance had no free slot.  Retries on
+   the same instance multiply it by the number of attempts.  */
 #define CALLER_BUSY_BACKOFF_MS 12
 
 /* Maximum time that a statement waits for a primary, or for a sample that
--- a/src/proxy/caller_remote.c
+++ b/src/proxy/caller_remote.c
@@ -1,5 +1,5 @@
-/* Runs a statement of a session through another host: one that has
-   connections to the instances of its group, or reaches the primary.  */
+/* Forwarding of the statements of a session to another host, which has
+   connections to the instances of the group, or can reach the primary.  */
 
 #include "proxy/caller_impl.h"
 
@@ -8,25 +8,27 @@
 #include "kernel/mutant.h"
 #include "kernel/text.h"
 
-/* The host answers before the statement's own timeout, so that its answer,
-   which may tell that the statement did not run, comes in time.  */
+/* The forwarded statement has a timeout that is shorter by this margin, so
+   that the answer of the other host, which may report that the statement did
+   not run, arrives before the timeout here.  */
 #define REMOTE_MARGIN_MS 15
 
-/* After a host refused a new statement, or none is known.  */
+/* Retry interval while no host is available to forward to.  */
 #define REMOTE_RETRY_MS 30
 
-/* A read is tried at another host after this, unless the one that has it
-   answers other statements: then its instances are busy.  */
+/* A read without an answer is forwarded to another host after this time,
+   unless the current host answers other statements: then its instances are
+   busy.  */
 #define REMOTE_SLOW_MS 600
 
-/* Time timeout of telling a host that a transaction has ended.  */
+/* Timeout of the request that ends a transaction at another host.  */
 #define REMOTE_ROLLBACK_TIMEOUT_MS 1000
 
-/* Hosts that one statement may be tried on.  */
+/* Maximum number of hosts that one statement is forwarded to.  */
 #define REMOTE_TRIED_LIMIT 3
 
-/* The primary that this host believes in and can't reach; NULL if there is
-   none.  */
+/* Returns the id of the group's primary if the statement needs it and this
+   host can't reach it, otherwise NULL.  */
 static const char *
 unreachable_leader (struct caller *caller)
 {
@@ -71,7 +73,8 @@
   caller->remote.number = 0;
 }
 
-/* Whether the host has answered nothing since the statement was sent.  */
+/* Returns whether the statement was sent at least REMOTE_SLOW_MS ago and the
+   other host has answered no statement since.  */
 static bool
 host_unresponsive (const struct caller *caller)
 {
@@ -82,7 +85,7 @@
                 < run->sent_ms;
 }
 
-/* Forgets the call that is under way; its answer is of no use any more.  */
+/* Cancels the call that is in flight.  Its answer will be ignored.  */
 static void
 cancel_call (struct caller *caller)
 {
@@ -133,8 +136,8 @@
   caller_finish (caller, answer);
 }
 
-/* The host's code is as true here as there: what it says did not run may be
-   tried through another one.  */
+/* The code of the other host is as reliable as one of this host: a statement
+   that did not run according to it may be forwarded to another host.  */
 static void
 handle_remote_error (struct caller *caller, const struct answer *answer)
 {
@@ -172,14 +175,15 @@
     }
   if (reply->answer.answer_len > 0)
     {
-      /* With its NUL.  */
+      /* The length includes the final NUL.  */
       answer.body = reply->answer.answer_val;
       answer.body_bytes = reply->answer.answer_len - 1;
     }
   handle_remote_success (caller, &answer);
 }
 
-/* The host did not get the statement, or refused to take it.  */
+/* Handles a statement that did not reach the other host, or that it
+   refused.  */
 static void
 not_delivered (struct caller *caller)
 {
@@ -192,7 +196,7 @@
   caller_retry (caller, CODE_BUSY);
 }
 
-/* The statement may have run.  */
+/* Handles a call that failed after the statement may have run.  */
 static void
 outcome_unknown (struct caller *caller, enum code code)
 {
@@ -330,7 +334,7 @@
       = run->tried_count < REMOTE_TRIED_LIMIT ? pick (caller) : NULL;
   if (host == NULL || !hosts_ready (callers->hosts))
     {
-      /* Those that failed may be back.  */
+      /* Hosts that failed before may be available again.  */
       run->tried_count = 0;
       caller_wait_for_group (caller, "no host to forward to", REMOTE_RETRY_MS);
       return;
--- a/src/proxy/caller_run.c
+++ b/src/proxy/caller_run.c
@@ -1,5 +1,5 @@
-/* Runs one statement of a session on an instance, and tries retry_timer
-   elsewhere what certainly did not run or may be repeated.  */
+/* Execution of one statement on an instance of its group.  A statement that
+   did not run, or that is repeatable, is tried on another instance.  */
 
 #include "proxy/caller_impl.h"
 
@@ -18,8 +18,7 @@
                                    - offsetof (struct caller, user));
 }
 
-/* Whether the statement must run on the primary.  A transaction that may
-   write can't be moved there later.  */
+/* A transaction that may write can't be moved to the primary later.  */
 bool
 caller_needs_leader (const struct caller *caller)
 {
@@ -29,7 +28,6 @@
   return caller_in_transaction (caller) && !caller->tx_read_only;
 }
 
-/* Whether the statement alone can be run retry_timer after it may have run. */
 bool
 caller_is_repeatable (const struct caller *caller)
 {
@@ -59,9 +57,8 @@
     caller_fail (caller, caller_refusal (caller), "not run in time");
 }
 
-/* Waits for a primary or a sample.  */
 static void
-hold (struct caller *caller, const char *why)
+wait_for_group (struct caller *caller, const char *why)
 {
   caller_wait_for_group (caller, why, CALLER_GROUP_WAIT_MS);
 }
@@ -104,14 +101,14 @@
   run->confirms_leader = !caller_in_transaction (caller) && !run->writes;
   if (leader == NULL || !backend_usable (leader))
     {
-      hold (caller, "no primary");
+      wait_for_group (caller, "no primary");
       return;
     }
   connect_to (caller, leader);
 }
 
-/* Sets what position a read must see; returns false if no sample covers
-   it.  */
+/* Sets the position that an instance must have applied to serve the read.
+   Returns false if no sample is recent enough.  */
 static bool
 set_min_position (struct caller *caller, const struct group *group)
 {
@@ -120,8 +117,8 @@
       = caller_in_transaction (caller) ? caller->tx_begun_ms : run->arrived_ms;
   clk_ms not_before_ms
       = since_ms - run->route.max_staleness_ms + CALLER_STALENESS_MARGIN_MS;
-  /* Commits of the same caller's earlier connections, on any host, precede
-     this session.  */
+  /* Commits of earlier sessions of the same caller, on any host, were
+     acknowledged before this session was opened.  */
   if (run->route.kind == ROUTE_SESSION && caller->opened_ms > not_before_ms)
     not_before_ms = caller->opened_ms;
   if (!samples_floor (group_samples (group), not_before_ms,
@@ -134,8 +131,9 @@
   return true;
 }
 
-/* After all instances lacked the position: it may be one that a promotion
-   rolled back, which the newest sample covers.  */
+/* Raises the position after all instances refused it as not applied.
+   A promotion may have discarded it; then a sample of the new term replaces
+   it.  */
 static void
 raise_min_position (struct caller *caller, struct group *group)
 {
@@ -154,13 +152,13 @@
   run->confirms_leader = false;
   if (group == NULL)
     {
-      hold (caller, "no instance");
+      wait_for_group (caller, "no instance");
       return;
     }
   if (!run->has_min_position && !set_min_position (caller, group))
     {
       group_request_sample (group);
-      hold (caller, "no recent position");
+      wait_for_group (caller, "no recent position");
       return;
     }
   struct backend *backend
@@ -243,8 +241,8 @@
                NULL);
   if (caller_is_repeatable (caller))
     {
-      double usual_ms = backend_mean_latency_ms (conn_backend (conn));
-      clk_ms slow_ms = (clk_ms)(CALLER_SLOW_FACTOR * usual_ms);
+      double mean_ms = backend_mean_latency_ms (conn_backend (conn));
+      clk_ms slow_ms = (clk_ms)(CALLER_SLOW_FACTOR * mean_ms);
       caller_set_timer (caller, &caller->slow,
                         slow_ms > CALLER_SLOW_MS ? slow_ms : CALLER_SLOW_MS);
     }
@@ -262,7 +260,8 @@
       plain ? NULL : &run->min_position);
 }
 
-/* Brings CONN to where the statement can be sent, and sends it.  */
+/* Sets CONN up for the statement and sends it.  If the set-up needs answers
+   first, on_answered sends it.  */
 static void
 run_on (struct caller *caller, struct backend_conn *conn)
 {
@@ -284,7 +283,7 @@
   run_on (caller_of (user), conn);
 }
 
-/* Goes on after the instance refused BEGIN or a set-up step.  */
+/* Handles the refusal of BEGIN or of a set-up statement.  */
 static void
 handle_set_up_error (struct caller *caller, const struct answer *answer)
 {
@@ -301,7 +300,8 @@
     caller_retry (caller, code_not_run (code) ? code : CODE_BUSY);
 }
 
-/* Learns from a statement that succeeded.  */
+/* Records the position of a statement that succeeded: as that of the
+   session's last commit, and as confirmation of the primary.  */
 static void
 record_position (struct caller *caller, struct backend *backend,
                  const struct answer *answer)
@@ -311,8 +311,8 @@
   bool commits = run->kind == STMT_COMMIT
                      ? caller->tx_wrote
                      : run->writes && !caller_in_transaction (caller);
-  /* An instance that lost the lead refuses statements of a plain
-     transaction, and writes.  */
+  /* An instance that is no longer the primary refuses writes, and statements
+     of a transaction that is not read-only.  */
   bool confirms_leader
       = commits || run->confirms_leader
         || (caller_in_transaction (caller) && !caller->tx_read_only
@@ -346,14 +346,15 @@
   caller_finish (caller, answer);
 }
 
-/* A statement of a transaction that an instance answered with an error.  */
+/* Handles an error that an instance returned to a statement of a
+   transaction.  */
 static void
 handle_tx_error (struct caller *caller, const struct answer *answer)
 {
   struct run_request *run = &caller->run;
   if (answer->state == TX_OPEN && answer->code == CODE_BUSY)
     {
-      /* The transaction stands and the statement did not run.  */
+      /* The transaction is still open, and the statement did not run.  */
       run->refusal = CODE_BUSY;
       if (!caller_enter_queue (caller))
         return;
@@ -411,11 +412,11 @@
     caller_finish (caller, answer);
 }
 
-/* Takes the answer to a plain BEGIN.  Returns false if the primary has not
-   applied its log yet; the statement then waits.  */
+/* Handles the answer to a BEGIN that was sent to the primary.  Returns false
+   if the primary has not applied its log yet; the statement then waits.  */
 static bool
-leader_covers (struct caller *caller, struct backend *backend,
-               const struct answer *answer)
+handle_begin (struct caller *caller, struct backend *backend,
+              const struct answer *answer)
 {
   struct group *group = caller_group (caller);
   if (group == NULL || !answer->has_position)
@@ -452,7 +453,7 @@
     }
   if (run->stage != RUN_SETTING_UP)
     {
-      /* A value set between the statements of a transaction.  */
+      /* A SET that was sent between the statements of a transaction.  */
       if (answer->code != CODE_OK)
         {
           caller_drop_conn (caller);
@@ -467,7 +468,7 @@
       return;
     }
   if (step == STEP_BEGIN && caller_needs_leader (caller)
-      && !leader_covers (caller, backend, answer))
+      && !handle_begin (caller, backend, answer))
     return;
   if (conn_outstanding (conn) == 0)
     send_main (caller);
@@ -482,7 +483,7 @@
   kernel_timer_cancel (caller_kernel (caller), &caller->slow);
   if (run->stage == RUN_NONE || run->stage == RUN_WAITING)
     {
-      /* Between the statements of a transaction.  */
+      /* No statement of the transaction is in flight.  */
       if (!caller_in_transaction (caller))
         return;
       if (run->stage == RUN_NONE)
@@ -523,7 +524,7 @@
   caller_set_timer (caller, &caller->retry_timer, 0);
 }
 
-/* Gives up waiting for a read and tries another instance.  */
+/* Tries a read without an answer on another instance.  */
 static void
 on_slow (void *arg)
 {
--- a/src/proxy/caller_wait.c
+++ b/src/proxy/caller_wait.c
@@ -1,5 +1,4 @@
-/* How the statement of a session waits, is tried retry_timer, or is given up.
- */
+/* Waiting, retries and failure of the statement of a session.  */
 
 #include "proxy/caller_impl.h"
 
@@ -27,7 +26,8 @@
   bool commit = caller->run.kind == STMT_COMMIT;
   caller_metrics_refused (caller_metrics_of (caller), why);
   backend_cancel (&caller->user);
-  /* The transaction is ended on its instance first.  */
+  /* The transaction is ended on its instance before the caller gets the
+     answer.  */
   caller_remote_stop (caller);
   caller_drop_conn (caller);
   if (caller_in_transaction (caller))
@@ -35,7 +35,6 @@
   caller_finish_code (caller, code, why);
 }
 
-/* The code for a statement that did not run and will not.  */
 enum code
 caller_refusal (const struct caller *caller)
 {
@@ -45,12 +44,12 @@
   return code_not_run (code) && code != CODE_NOSTMT ? code : CODE_BUSY;
 }
 
-/* Ends the statement whose outcome on the instance is not known.  */
 void
 caller_fail_unknown (struct caller *caller, enum code code, const char *why)
 {
   const struct run_request *run = &caller->run;
-  /* Without COMMIT, or without a write, nothing can be kept.  */
+  /* Without a COMMIT, or without a write, nothing can have been
+     committed.  */
   if (caller_in_transaction (caller)
       && (run->kind != STMT_COMMIT || !caller->tx_wrote))
     code = CODE_ABORTED;
@@ -61,9 +60,6 @@
   caller_fail (caller, code, why);
 }
 
-/* Joins those that wait for a slot or a connection.  Returns false if the
-   statement would not be served in time: then it has been refused.
-   Transactions that have run already wait in any case.  */
 bool
 caller_enter_queue (struct caller *caller)
 {
@@ -88,7 +84,6 @@
   return false;
 }
 
-/* Waits for SPAN_MS or a change of the group.  */
 void
 caller_wait (struct caller *caller, clk_ms span_ms)
 {
@@ -144,7 +139,6 @@
   caller_wait (caller, left_ms < wait_ms ? left_ms : wait_ms);
 }
 
-/* Goes on after an attempt that certainly did not run.  */
 void
 caller_retry (struct caller *caller, enum code code)
 {
--- a/src/proxy/forwarded_sessions.c
+++ b/src/proxy/forwarded_sessions.c
@@ -14,9 +14,9 @@
 struct forwarded_session
 {
   struct forwarded_sessions *owner;
-  uint64_t number; /* chosen by the sender */
+  uint64_t number; /* chosen by the sending host */
   bool in_transaction;
-  uint64_t call; /* to be answered; 0 between statements */
+  uint64_t call; /* not yet answered; 0 between statements */
   struct caller *caller;
   struct ktimer end;
   struct forwarded_session *prev;
@@ -52,7 +52,7 @@
     .code = (u_int)answer->code,
     .overloaded = caller->overloaded,
     .reason = (char *)(answer->text != NULL ? answer->text : ""),
-    /* With its NUL.  */
+    /* The length includes the final NUL.  */
     .answer
     = { .answer_len = answer->body != NULL ? (u_int)answer->body_bytes + 1 : 0,
         .answer_val = (char *)answer->body },
@@ -68,7 +68,7 @@
 {
   struct forwarded_sessions *sessions = session->owner;
   peer_forwarded unknown = { .code = CODE_INDOUBT,
-                             .reason = "ended while it ran",
+                             .reason = "cancelled while running",
                              .instance = "" };
   if (session->call != 0)
     reply (session, &unknown);
@@ -85,7 +85,8 @@
   forwarded_session_free (arg);
 }
 
-/* Ends GUEST from the loop, or once it has been idle for too long.  */
+/* Schedules the end of SESSION: in the next turn of the event loop if AT_ONCE,
+   otherwise at the idle timeout.  */
 static void
 schedule_end (struct forwarded_session *session, bool at_once)
 {
@@ -113,8 +114,8 @@
                &(peer_body){ .kind = PEER_KIND_REFUSED });
 }
 
-/* Answers a statement of a transaction that is not open here, or the end of
-   what has ended.  */
+/* Answers a statement of a transaction that is unknown here, or has just been
+   rolled back.  */
 static void
 reply_ended (struct forwarded_sessions *sessions, uint64_t call, bool rollback)
 {
@@ -138,7 +139,7 @@
   return NULL;
 }
 
-/* Returns NULL if a name of the request does not fit.  */
+/* Returns NULL if a name of the request is too long.  */
 static struct forwarded_session *
 open_session (struct forwarded_sessions *sessions, const peer_forward *request)
 {
@@ -177,8 +178,8 @@
   return session;
 }
 
-/* Brings the session to the sender's state.  Returns false if it can't be
-   had.  */
+/* Applies the values, the prepared statement and the position of the sender's
+   session.  Returns false if a limit is exceeded.  */
 static bool
 apply_session_state (struct caller *caller, const peer_forward *request)
 {
@@ -227,7 +228,7 @@
   caller_submit (session->caller, &statement);
 }
 
-/* A statement of a transaction that is open here.  */
+/* Runs a statement of a transaction that is open here.  */
 static void
 continue_transaction (struct forwarded_session *session, uint64_t call,
                       const peer_forward *request)
@@ -315,7 +316,7 @@
 {
   struct forwarded_sessions *sessions = mem_zalloc (sizeof *sessions);
   sessions->base.ops = &forwarded_sessions_ops;
-  sessions->base.name = "guests";
+  sessions->base.name = "forwarded_sessions";
   return sessions;
 }
 
--- a/src/proxy/forwarded_sessions.h
+++ b/src/proxy/forwarded_sessions.h
@@ -1,22 +1,24 @@
-/* forwarded_sessions - statements of other hosts' sessions, run on this host's
-   connections.
+/* forwarded_sessions - sessions that run statements forwarded by other hosts.
 
-   A statement outside of a transaction stays until it is answered, or its
-   sender gives it up.  A transaction stays from its first statement to its
-   last, under the number that the sender chose; one whose sender falls silent
-   is ended once it has been idle for longer than the sender would leave it so.
+   The statements run on this host's connections.  A statement outside of a
+   transaction has a session of its own, which ends when the statement is
+   answered or the sending host cancels it.  A transaction keeps its session
+   from its first statement to its last, under a number chosen by the sending
+   host.  If that host stops sending, the session ends after an idle timeout
+   that is longer than the one that the sending host applies itself.
 
    Module name: "forwarded_sessions".  */
 
-#ifndef SAVORYWAY_PROXY_GUESTS_H
-#define SAVORYWAY_PROXY_GUESTS_H
+#ifndef SAVORYWAY_PROXY_FORWARDED_SESSIONS_H
+#define SAVORYWAY_PROXY_FORWARDED_SESSIONS_H
 
 #include "kernel/kernel.h"
 
-/* Beyond the idle timeout of transactions, which their own host enforces.  */
+/* Added to the configured idle timeout of transactions, which the sending host
+   enforces.  */
 #define FORWARDED_IDLE_MARGIN_MS 1000
 
-/* The same where the configuration sets no timeout.  */
+/* Idle timeout where the configuration sets none.  */
 #define FORWARDED_IDLE_DEFAULT_MS 60000
 
 struct forwarded_sessions;
@@ -24,10 +26,11 @@
 struct forwarded_sessions *forwarded_sessions_new (void);
 struct module *forwarded_sessions_module (struct forwarded_sessions *sessions);
 
-/* Statements that run and transactions that are open.  */
+/* Returns the number of running statements and open transactions.  */
 size_t forwarded_sessions_count (const struct forwarded_sessions *sessions);
 
-/* From now on this host takes no new statement or transaction: it leaves.  */
+/* Refuses all new statements and transactions from now on, as this host is
+   shutting down.  */
 void forwarded_sessions_stop_accepting (struct forwarded_sessions *sessions);
 
 #endif
--- a/src/proxy/forwarder.c
+++ b/src/proxy/forwarder.c
@@ -10,7 +10,7 @@
 #include "proxy/placement.h"
 #include "proxy/roster.h"
 
-/* A host that statements were forwarded to.  */
+/* Load and failures of a host that statements were forwarded to.  */
 struct host_load
 {
   char host[NAME_BYTES];
@@ -37,8 +37,8 @@
   return load;
 }
 
-/* Forgets hosts that are idle and were not found wanting, so that hosts that
-   were replaced don't add up.  */
+/* Removes hosts without statements in flight and without a recent failure, so
+   that entries of replaced hosts don't accumulate.  */
 static void
 drop_idle_loads (struct forwarder *forwarder)
 {
@@ -113,7 +113,7 @@
   return false;
 }
 
-/* Cost of HOST, or a negative number if it can't serve the query.  */
+/* Returns the cost of HOST, or -1 if it does not meet the query.  */
 static double
 host_cost (const struct forwarder *forwarder,
            const struct forwarder_query *query, const struct other_host *host)
@@ -134,7 +134,8 @@
     cost += load->outstanding;
   if (strcmp (host->zone, hosts_own_zone (forwarder->hosts)) != 0)
     cost += FORWARDER_DOMAIN_COST;
-  /* Hosts that know the same must not all choose the same.  */
+  /* Random part, so that hosts with the same information don't all choose the
+     same host.  */
   return cost + rng_unit (kernel_rng (kernel));
 }
 
--- a/src/proxy/statement.h
+++ b/src/proxy/statement.h
@@ -1,7 +1,12 @@
-/* statement - statements of callers and answers of instances, typed.
+/* statement - statements of callers, and answers of instances.
 
-   The text form belongs to the wire's codec; here a statement is its kind and
-   the parts by which decisions are made.  */
+   Statements and answers are passed between modules in this typed form.  The
+   wire codec parses and prints their text; a statement has only its kind and
+   the parts that routing depends on.
+
+   Each answer has a code.  code_not_run returns whether the statement can
+   safely be sent again.  A position identifies a place in the log of a
+   group, by term and LSN.  */
 
 #ifndef SAVORYWAY_PROXY_STATEMENT_H
 #define SAVORYWAY_PROXY_STATEMENT_H
@@ -31,43 +36,44 @@
   STMT_RESUME
 };
 
-/* Strings end with NUL and are valid during the call they are passed to.  */
+/* A statement.  The strings are valid only during the call that they are
+   passed to.  */
 struct statement
 {
   enum stmt_kind kind;
-  const char *id;   /* the caller's; NULL for a statement of the proxy */
+  const char *id;   /* set by the caller; NULL for a statement of the proxy */
   const char *text; /* as received; sent unchanged if not NULL */
-  const char *name; /* of a value or prepared statement */
+  const char *name; /* of a value or a prepared statement */
   const char *rest; /* value, shape, or arguments of an execution */
   uint64_t term;    /* STMT_STEPDOWN, STMT_PAUSE */
 };
 
-/* How a statement ended.  The names are those of the field; the codec maps
-   them to the wire's words.  */
+/* Result of a statement.  The wire codec maps these values to the texts of
+   the protocol.  */
 enum code
 {
   CODE_OK,
-  CODE_BUSY,      /* no run: no slot */
-  CODE_LAGGING,   /* no run: the log lacks the position asked for */
-  CODE_READONLY,  /* no run: not the primary */
-  CODE_MISROUTED, /* no run: another instance or service */
-  CODE_TOOMANY,   /* no run: no connection left */
-  CODE_ABORTED,   /* the transaction left nothing */
-  CODE_NOSTMT,    /* no run: no such prepared statement */
-  CODE_FAILED,    /* ran and failed */
-  CODE_TIMEOUT,   /* may have run */
-  CODE_INDOUBT,   /* may have run */
+  CODE_BUSY,      /* not run: no free slot */
+  CODE_LAGGING,   /* not run: required position not applied yet */
+  CODE_READONLY,  /* not run: not the primary */
+  CODE_MISROUTED, /* not run: a different instance or service */
+  CODE_TOOMANY,   /* not run: connection limit of the instance */
+  CODE_ABORTED,   /* nothing of the transaction was committed */
+  CODE_NOSTMT,    /* not run: no such prepared statement */
+  CODE_FAILED,    /* run, and failed */
+  CODE_TIMEOUT,   /* may have run: no answer in time */
+  CODE_INDOUBT,   /* may have run: outcome unknown */
   CODE_NODB,      /* no such database */
   CODE_TOOLARGE,
   CODE_MALFORMED,
   CODE_NOAUTH,
-  CODE_LOST /* connection gone; never sent to a caller */
+  CODE_LOST /* connection closed; never sent to a caller */
 };
 
 const char *code_name (enum code code);
 
-/* Whether an instance's answer CODE confirms_leader that the statement did not
- * run.  */
+/* Returns whether CODE, sent by an instance, guarantees that the statement did
+   not run.  */
 bool code_not_run (enum code code);
 
 enum tx_state
@@ -77,12 +83,13 @@
   TX_FAILED
 };
 
-/* What an instance or the proxy answers.  */
+/* Answer of an instance or of the proxy.  */
 struct answer
 {
   enum code code;
-  const char *text; /* of an error */
-  /* Rows and signature as received, ended by a NUL; NULL: empty success.  */
+  const char *text; /* message of an error; may be NULL */
+  /* Rows and signature as received, with a final NUL that BODY_BYTES does not
+     count.  NULL for a success without rows.  */
   const char *body;
   size_t body_bytes;
   enum tx_state state;
@@ -90,7 +97,7 @@
   struct position position;
 };
 
-/* What an instance says of itself on STMT_STATUS.  */
+/* Status that an instance reports on STMT_STATUS.  */
 struct instance_status
 {
   bool is_primary;
@@ -99,10 +106,12 @@
   uint64_t held_term;
 };
 
-/* Reads the row of STMT_STATUS from the BODY of an answer.  */
+/* Parses the row of STMT_STATUS in the body of ANSWER.  Returns false if it is
+   malformed.  */
 typedef bool (*status_parse) (struct instance_status *status,
                               const struct answer *answer);
 
+/* Orders positions by term, then by LSN.  Returns -1, 0 or 1.  */
 int position_compare (struct position a, struct position b);
 
 #endif
--- a/src/proxy/values.h
+++ b/src/proxy/values.h
@@ -1,4 +1,7 @@
-/* values - the named values of a session, kept sorted by name.  */
+/* values - session values: names with texts, set by SET and sorted by name.
+
+   The hash identifies the whole set, so that a connection with equal values
+   can be reused without a set-up.  */
 
 #ifndef SAVORYWAY_PROXY_VALUES_H
 #define SAVORYWAY_PROXY_VALUES_H
@@ -7,6 +10,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/* Maximum number of values of a session.  */
 #define VALUES_LIMIT 64
 
 struct value
@@ -19,10 +23,10 @@
 {
   size_t count;
   struct value *items;
-  uint64_t hash; /* 0 if there are none */
+  uint64_t hash; /* 0 without values */
 };
 
-/* Sets NAME; returns false if there are VALUES_LIMIT others.  */
+/* Sets NAME to TEXT.  Returns false if there are VALUES_LIMIT other names.  */
 bool values_set (struct values *values, const char *name, const char *text);
 void values_clear (struct values *values);
 
