--- a/src/proxy/forwarded_sessions.c
+++ b/src/proxy/forwarded_sessions.c
@@ -11,16 +11,16 @@
 #include "proxy/caller_impl.h"
 #include "proxy/hosts.h"
 
-struct guest
+struct forwarded_session
 {
-  struct forwarded_sessions *forwarded_sessions;
-  uint64_t number; /* chosen by the sender */
+  struct forwarded_sessions *owner;
+  uint64_t number; /* chosen by the sending host */
   bool in_transaction;
-  uint64_t call; /* to be answered; 0 between statements */
+  uint64_t call; /* not yet answered; 0 between statements */
   struct caller *caller;
   struct ktimer end;
-  struct guest *prev;
-  struct guest *next;
+  struct forwarded_session *prev;
+  struct forwarded_session *next;
 };
 
 struct forwarded_sessions
@@ -29,30 +29,30 @@
   struct hosts *hosts;
   struct callers *callers;
   struct catalog *catalog;
-  struct guest *list;
+  struct forwarded_session *list;
   size_t count;
-  bool refuses;
+  bool stopped; /* accepts no new session */
 };
 
 static void
-reply (struct guest *guest, const peer_forwarded *forwarded)
+reply (struct forwarded_session *session, const peer_forwarded *forwarded)
 {
   peer_body body
       = { .kind = PEER_KIND_FORWARDED, .peer_body_u.forwarded = *forwarded };
-  uint64_t call = guest->call;
-  guest->call = 0;
-  hosts_reply (guest->forwarded_sessions->hosts, call, &body);
+  uint64_t call = session->call;
+  session->call = 0;
+  hosts_reply (session->owner->hosts, call, &body);
 }
 
 static void
-reply_answer (struct guest *guest, const struct answer *answer)
+reply_answer (struct forwarded_session *session, const struct answer *answer)
 {
-  const struct caller *caller = guest->caller;
+  const struct caller *caller = session->caller;
   peer_forwarded forwarded = {
     .code = (u_int)answer->code,
     .overloaded = caller->overloaded,
     .reason = (char *)(answer->text != NULL ? answer->text : ""),
-    /* With its NUL.  */
+    /* The length includes the final NUL.  */
     .answer
     = { .answer_len = answer->body != NULL ? (u_int)answer->body_bytes + 1 : 0,
         .answer_val = (char *)answer->body },
@@ -60,94 +60,92 @@
     .own_term = caller->own.term,
     .own_lsn = caller->own.lsn,
   };
-  reply (guest, &forwarded);
+  reply (session, &forwarded);
 }
 
 static void
-guest_free (struct guest *guest)
+forwarded_session_free (struct forwarded_session *session)
 {
-  struct forwarded_sessions *forwarded_sessions = guest->forwarded_sessions;
+  struct forwarded_sessions *sessions = session->owner;
   peer_forwarded unknown = { .code = CODE_INDOUBT,
-                             .reason = "ended while it ran",
+                             .reason = "cancelled while running",
                              .instance = "" };
-  if (guest->call != 0)
-    reply (guest, &unknown);
-  kernel_timer_cancel (forwarded_sessions->base.kernel, &guest->end);
-  caller_close (guest->caller);
-  DL_DELETE (forwarded_sessions->list, guest);
-  forwarded_sessions->count--;
-  free (guest);
+  if (session->call != 0)
+    reply (session, &unknown);
+  kernel_timer_cancel (sessions->base.kernel, &session->end);
+  caller_close (session->caller);
+  DL_DELETE (sessions->list, session);
+  sessions->count--;
+  free (session);
 }
 
 static void
 on_end (void *arg)
 {
-  guest_free (arg);
+  forwarded_session_free (arg);
 }
 
-/* Ends GUEST from the loop, or once it has been idle for too long.  */
+/* Schedules the end of SESSION: in the next turn of the event loop if AT_ONCE,
+   otherwise at the idle timeout.  */
 static void
-arm_end (struct guest *guest, bool at_once)
+schedule_end (struct forwarded_session *session, bool at_once)
 {
-  struct forwarded_sessions *forwarded_sessions = guest->forwarded_sessions;
-  struct kernel *kernel = forwarded_sessions->base.kernel;
-  clk_ms idle_ms = catalog_config (forwarded_sessions->catalog)->tx_idle_ms;
+  struct forwarded_sessions *sessions = session->owner;
+  struct kernel *kernel = sessions->base.kernel;
+  clk_ms idle_ms = catalog_config (sessions->catalog)->tx_idle_ms;
   clk_ms span_ms = idle_ms > 0 ? idle_ms + FORWARDED_IDLE_MARGIN_MS
-                               : GUESTS_IDLE_DEFAULT_MS;
-  kernel_timer_set (kernel, &guest->end,
+                               : FORWARDED_IDLE_DEFAULT_MS;
+  kernel_timer_set (kernel, &session->end,
                     kernel_now (kernel) + (at_once ? 0 : span_ms));
 }
 
 static void
 on_answer (void *arg, const struct answer *answer)
 {
-  struct guest *guest = arg;
-  reply_answer (guest, answer);
-  arm_end (guest, !guest->in_transaction || answer->state != TX_OPEN);
+  struct forwarded_session *session = arg;
+  reply_answer (session, answer);
+  schedule_end (session, !session->in_transaction || answer->state != TX_OPEN);
 }
 
 static void
-refuse (struct forwarded_sessions *forwarded_sessions, uint64_t call)
+refuse (struct forwarded_sessions *sessions, uint64_t call)
 {
-  hosts_reply (forwarded_sessions->hosts, call,
+  hosts_reply (sessions->hosts, call,
                &(peer_body){ .kind = PEER_KIND_REFUSED });
 }
 
-/* Answers a statement of a transaction that is not open here, or the end of
-   what has ended.  */
+/* Answers a statement of a transaction that is unknown here, or has just been
+   rolled back.  */
 static void
-reply_unknown (struct forwarded_sessions *forwarded_sessions, uint64_t call,
-               bool rollback)
+reply_ended (struct forwarded_sessions *sessions, uint64_t call, bool rollback)
 {
   peer_body body = { .kind = PEER_KIND_FORWARDED };
   body.peer_body_u.forwarded
       = (peer_forwarded){ .code = rollback ? CODE_OK : CODE_ABORTED,
                           .reason = "the transaction was ended",
                           .instance = "" };
-  hosts_reply (forwarded_sessions->hosts, call, &body);
+  hosts_reply (sessions->hosts, call, &body);
 }
 
-static struct guest *
-find_guest (const struct forwarded_sessions *forwarded_sessions,
-            uint64_t number)
+static struct forwarded_session *
+find_session (const struct forwarded_sessions *sessions, uint64_t number)
 {
-  struct guest *guest;
-  DL_FOREACH (forwarded_sessions->list, guest)
+  struct forwarded_session *session;
+  DL_FOREACH (sessions->list, session)
   {
-    if (guest->number == number)
-      return guest;
+    if (session->number == number)
+      return session;
   }
   return NULL;
 }
 
-/* Returns NULL if a name of the request does not fit.  */
-static struct guest *
-open_guest (struct forwarded_sessions *forwarded_sessions,
-            const peer_forward *request)
+/* Returns NULL if a name of the request is too long.  */
+static struct forwarded_session *
+open_session (struct forwarded_sessions *sessions, const peer_forward *request)
 {
-  clk_ms now_ms = kernel_now (forwarded_sessions->base.kernel);
-  struct guest *guest = mem_zalloc (sizeof *guest);
-  struct caller_sink sink = { .answer = on_answer, .arg = guest };
+  clk_ms now_ms = kernel_now (sessions->base.kernel);
+  struct forwarded_session *session = mem_zalloc (sizeof *session);
+  struct caller_sink sink = { .answer = on_answer, .arg = session };
   struct route route = { .kind = (enum route_kind)request->route_kind,
                          .timeout_ms = request->timeout_ms,
                          .target_ms = request->target_ms,
@@ -157,11 +155,11 @@
       || !text_copy (route.database, NAME_BYTES, request->database)
       || !text_copy (route.group, NAME_BYTES, request->group))
     {
-      free (guest);
+      free (session);
       return NULL;
     }
   struct caller *caller
-      = caller_open_guest (forwarded_sessions->callers, &route, &sink);
+      = caller_open_forwarded (sessions->callers, &route, &sink);
   caller->opened_ms = now_ms - request->session_age_ms;
   caller->may_wait = request->may_wait;
   if (request->begins)
@@ -170,20 +168,20 @@
       caller->tx_read_only = request->read_only;
       caller->tx_begun_ms = now_ms - request->transaction_age_ms;
     }
-  guest->forwarded_sessions = forwarded_sessions;
-  guest->caller = caller;
-  guest->number = request->number;
-  guest->in_transaction = request->in_transaction;
-  guest->end = (struct ktimer){ .fire = on_end, .arg = guest };
-  DL_APPEND (forwarded_sessions->list, guest);
-  forwarded_sessions->count++;
-  return guest;
+  session->owner = sessions;
+  session->caller = caller;
+  session->number = request->number;
+  session->in_transaction = request->in_transaction;
+  session->end = (struct ktimer){ .fire = on_end, .arg = session };
+  DL_APPEND (sessions->list, session);
+  sessions->count++;
+  return session;
 }
 
-/* Brings the session to the sender's state.  Returns false if it can't be
-   had.  */
+/* Applies the values, the prepared statement and the position of the sender's
+   session.  Returns false if a limit is exceeded.  */
 static bool
-set_session (struct caller *caller, const peer_forward *request)
+apply_session_state (struct caller *caller, const peer_forward *request)
 {
   struct position own = { request->own_term, request->own_lsn };
   if (position_compare (own, caller->own) > 0)
@@ -217,118 +215,113 @@
 }
 
 static void
-run (struct guest *guest, uint64_t call, const peer_forward *request)
+run (struct forwarded_session *session, uint64_t call,
+     const peer_forward *request)
 {
   struct statement statement = { .kind = (enum stmt_kind)request->kind,
                                  .id = request->id,
                                  .text = text_or_null (request->text),
                                  .name = text_or_null (request->name),
                                  .rest = request->rest };
-  kernel_timer_cancel (guest->forwarded_sessions->base.kernel, &guest->end);
-  guest->call = call;
-  caller_submit (guest->caller, &statement);
+  kernel_timer_cancel (session->owner->base.kernel, &session->end);
+  session->call = call;
+  caller_submit (session->caller, &statement);
 }
 
-/* A statement of a transaction that is open here.  */
+/* Runs a statement of a transaction that is open here.  */
 static void
-go_on (struct guest *guest, uint64_t call, const peer_forward *request)
+continue_transaction (struct forwarded_session *session, uint64_t call,
+                      const peer_forward *request)
 {
-  struct forwarded_sessions *forwarded_sessions = guest->forwarded_sessions;
+  struct forwarded_sessions *sessions = session->owner;
   if (request->kind == STMT_ROLLBACK)
     {
-      guest_free (guest);
-      reply_unknown (forwarded_sessions, call, true);
+      forwarded_session_free (session);
+      reply_ended (sessions, call, true);
     }
-  else if (guest->call != 0 || !may_run (request)
-           || !set_session (guest->caller, request))
-    refuse (forwarded_sessions, call);
+  else if (session->call != 0 || !may_run (request)
+           || !apply_session_state (session->caller, request))
+    refuse (sessions, call);
   else
-    run (guest, call, request);
+    run (session, call, request);
 }
 
 static void
 on_forward (void *arg, uint64_t call, const peer_message *message)
 {
-  struct forwarded_sessions *forwarded_sessions = arg;
+  struct forwarded_sessions *sessions = arg;
   const peer_forward *request = &message->body.peer_body_u.forward;
-  struct guest *guest = find_guest (forwarded_sessions, request->number);
-  if (guest != NULL)
+  struct forwarded_session *session = find_session (sessions, request->number);
+  if (session != NULL)
     {
-      go_on (guest, call, request);
+      continue_transaction (session, call, request);
       return;
     }
   if (request->in_transaction && !request->begins
       && !MUTANT (run_unknown_transaction))
     {
-      reply_unknown (forwarded_sessions, call, request->kind == STMT_ROLLBACK);
+      reply_ended (sessions, call, request->kind == STMT_ROLLBACK);
       return;
     }
-  if (!forwarded_sessions->refuses && may_run (request))
-    guest = open_guest (forwarded_sessions, request);
-  if (guest == NULL)
-    refuse (forwarded_sessions, call);
-  else if (!set_session (guest->caller, request))
+  if (!sessions->stopped && may_run (request))
+    session = open_session (sessions, request);
+  if (session == NULL)
+    refuse (sessions, call);
+  else if (!apply_session_state (session->caller, request))
     {
-      guest_free (guest);
-      refuse (forwarded_sessions, call);
+      forwarded_session_free (session);
+      refuse (sessions, call);
     }
   else
-    run (guest, call, request);
+    run (session, call, request);
 }
 
 size_t
-forwarded_sessions_count (const struct forwarded_sessions *forwarded_sessions)
+forwarded_sessions_count (const struct forwarded_sessions *sessions)
 {
-  return forwarded_sessions->count;
+  return sessions->count;
 }
 
 void
-forwarded_sessions_stop_accepting (
-    struct forwarded_sessions *forwarded_sessions)
+forwarded_sessions_stop_accepting (struct forwarded_sessions *sessions)
 {
-  forwarded_sessions->refuses = true;
+  sessions->stopped = true;
 }
 
 static void
-guests_start (struct module *module)
+forwarded_sessions_start (struct module *module)
 {
-  struct forwarded_sessions *forwarded_sessions
-      = (struct forwarded_sessions *)module;
+  struct forwarded_sessions *sessions = (struct forwarded_sessions *)module;
   struct kernel *kernel = module->kernel;
-  forwarded_sessions->hosts = (struct hosts *)kernel_find (kernel, "hosts");
-  forwarded_sessions->callers
-      = (struct callers *)kernel_find (kernel, "callers");
-  forwarded_sessions->catalog
-      = (struct catalog *)kernel_find (kernel, "catalog");
-  hosts_handle (forwarded_sessions->hosts, PEER_KIND_FORWARD, on_forward,
-                forwarded_sessions);
+  sessions->hosts = (struct hosts *)kernel_find (kernel, "hosts");
+  sessions->callers = (struct callers *)kernel_find (kernel, "callers");
+  sessions->catalog = (struct catalog *)kernel_find (kernel, "catalog");
+  hosts_handle (sessions->hosts, PEER_KIND_FORWARD, on_forward, sessions);
 }
 
 static void
-guests_free (struct module *module)
+forwarded_sessions_free (struct module *module)
 {
-  struct forwarded_sessions *forwarded_sessions
-      = (struct forwarded_sessions *)module;
-  while (forwarded_sessions->list != NULL)
-    guest_free (forwarded_sessions->list);
-  free (forwarded_sessions);
+  struct forwarded_sessions *sessions = (struct forwarded_sessions *)module;
+  while (sessions->list != NULL)
+    forwarded_session_free (sessions->list);
+  free (sessions);
 }
 
-static const struct module_ops guests_ops
-    = { .start = guests_start, .free = guests_free };
+static const struct module_ops forwarded_sessions_ops
+    = { .start = forwarded_sessions_start, .free = forwarded_sessions_free };
 
 struct forwarded_sessions *
 forwarded_sessions_new (void)
 {
-  struct forwarded_sessions *forwarded_sessions
-      = mem_zalloc (sizeof *forwarded_sessions);
-  forwarded_sessions->base.ops = &guests_ops;
-  forwarded_sessions->base.name = "guests";
-  return forwarded_sessions;
+  struct forwarded_sessions *sessions = mem_zalloc (sizeof *sessions);
+  sessions->base.ops = &forwarded_sessions_ops;
+  sessions->base.name = "forwarded_sessions";
+  return sessions;
 }
 
 struct module *
-forwarded_sessions_module (struct forwarded_sessions *forwarded_sessions)
+forwarded_sessions_module (struct forwarded_sessions *sessions)
 {
-  return &forwarded_sessions->base;
+  return &sessions->base;
 }
