--- a/src/core/entry_submit.c
+++ b/src/core/entry_submit.c
@@ -91,8 +91,8 @@
   struct entry_load *load = find_or_add_load (entry, service);
   if (load == NULL || !has_capacity (entry, load))
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_requests_limit_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_requests_limit_total");
       call->retry_after_ms = ENTRY_HOLD_RETRY_MS;
       return REASON_OVERLOAD;
     }
@@ -109,14 +109,14 @@
   if (!session_decode (&call->session, entry->token_key, call->service,
                        call->caller, request->token))
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_bad_tokens_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_bad_tokens_total");
       return REASON_BAD_TOKEN;
     }
   if (!session_has_capacity (&call->session, call->database))
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_sessions_limit_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_sessions_limit_total");
       return REASON_OVERLOAD;
     }
   call->session_loaded = true;
--- a/src/core/gateway_tx.c
+++ b/src/core/gateway_tx.c
@@ -64,8 +64,8 @@
       || instance->tx_count + instance->slots + 1
              >= conn_pool_limit (instance->pool))
     {
-      metrics_count (kernel_metrics (instance->gateway->base.kernel),
-                     "gateway_transactions_limit_total");
+      metrics_increment (kernel_metrics (instance->gateway->base.kernel),
+                         "gateway_transactions_limit_total");
       gw_refuse (job, REASON_OVERLOAD, GW_STATUS_INTERVAL_MS);
       return;
     }
@@ -156,8 +156,8 @@
              "transaction_rolled_back", LOG_S ("instance", instance->name),
              LOG_U ("transaction", tx->id),
              LOG_S ("entry_host", tx->entry_host), LOG_S ("why", why));
-  metrics_count (kernel_metrics (instance->gateway->base.kernel),
-                 "gateway_transactions_orphaned_total");
+  metrics_increment (kernel_metrics (instance->gateway->base.kernel),
+                     "gateway_transactions_orphaned_total");
   gw_tx_end (tx, false);
 }
 
@@ -218,7 +218,7 @@
         tx->last_contact_ms = now_ms;
     }
   if (heartbeat->leaving)
-    members_leaving (gateway->members, message->from.host,
-                     message->from.incarnation);
+    members_mark_leaving (gateway->members, message->from.host,
+                          message->from.incarnation);
   answer_heartbeat (gateway, call, heartbeat);
 }
--- a/src/core/session.h
+++ b/src/core/session.h
@@ -13,10 +13,10 @@
 
 #include <stddef.h>
 
-#include "core/seal.h"
+#include "core/signed_token.h"
 #include "core/types.h"
 
-#define TOKEN_KEY_BYTES SEAL_KEY_BYTES
+#define TOKEN_KEY_BYTES SIGNED_TOKEN_KEY_BYTES
 
 /* Databases in one token.  */
 #define SESSION_DATABASES 48
