--- a/src/core/node.c
+++ b/src/core/node.c
@@ -24,10 +24,11 @@
   struct entry *entry;
   struct confedit *confedit;
   bool draining;
-  clk_ms drain_ms; /* when the drain began */
+  clk_ms drain_ms; /* start of the drain */
 };
 
-/* Time for the leaving mark to reach the hosts that send work here.  */
+/* Minimum length of a drain: time for the leaving mark to reach the hosts that
+   send requests here.  */
 #define DRAIN_SETTLE_MS 1000
 
 static clk_ms
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -1,6 +1,6 @@
-/* node - one host of the system: its kernel and all modules of the core.
+/* node - one host of the system: its event kernel and all modules of the core.
 
-   The shell (port/, cli/) or a test gives it ports, drives its kernel, and
+   The program (port/, cli/) or a test supplies the ports, runs the kernel, and
    submits requests through node_entry.  */
 
 #ifndef SAVORYWAY_CORE_NODE_H
@@ -25,17 +25,18 @@
   struct member self;
   const uint8_t *token_key;
   enum policy policy;
-  uint32_t max_requests; /* callers' requests in flight on this host */
+  uint32_t max_requests; /* limit of callers' requests in flight */
   struct clk *clk;
   struct rng *rng;
   struct log *log;
   struct db_port *db;
   struct peer_port *peer;
   struct platform_port *platform;
-  size_t seed_count; /* hosts to ask while the platform is down */
+  size_t seed_count; /* hosts to pull from if the platform is down */
   const struct peer_address *seeds;
 };
 
+/* Creates all modules.  node_start starts them.  */
 struct node *node_new (const struct node_options *options);
 void node_start (struct node *node);
 void node_free (struct node *node);
@@ -49,13 +50,13 @@
 struct failover *node_failover (struct node *node);
 struct confedit *node_confedit (struct node *node);
 
-/* Whether the host may take requests: it has a configuration, a list of
-   hosts, and is not leaving.  */
+/* Returns whether the host can accept requests: it has a configuration, term
+   records and a list of hosts, and is not leaving.  */
 bool node_ready (const struct node *node);
 
-/* Begins a graceful shutdown: marks the host as leaving, hands over its
-   roles and refuses new requests.  node_drained becomes true when nothing is
-   in flight.  */
+/* Starts a graceful shutdown: marks the host as leaving, so that its roles
+   move to other hosts, and refuses new requests.  node_drained returns true
+   once no request is in flight.  */
 void node_drain (struct node *node);
 bool node_drained (const struct node *node);
 
--- a/src/core/sync.c
+++ b/src/core/sync.c
@@ -10,16 +10,25 @@
 #include "core/sync_watch.h"
 #include "kernel/mem.h"
 
-#define TICK_MS 250
+/* Interval at which the role is chosen again.  */
+#define TICK_INTERVAL_MS 250
 
-/* A host that starts spreads its first call to the platform over this span,
-   and asks its seeds after it.  */
+/* Jitter of the first platform call after a start, so that hosts which start
+   together don't call at the same time.  */
 #define START_JITTER_MS 100
-#define SEEDS_AFTER_MS 300
 
-/* A relay that can't read the platform for so long pulls from others.  */
+/* Time from the start for the platform to answer before the seeds are
+   tried.  */
+#define SEEDS_DELAY_MS 300
+
+/* Time after which a relay that can't read the platform pulls from other
+   hosts.  */
 #define PLATFORM_FAILING_MS 1000
+
+/* Time after which a host that can't pull from any other reads the
+   platform.  */
 #define PULL_FAILING_MS 2500
+
 #define PUSH_TIMEOUT_MS 1000
 
 struct sync
@@ -37,33 +46,33 @@
   struct sync_census *census;
   struct ktimer tick;
   clk_ms started_ms;
-  clk_ms direct_after_ms;
-  bool news_pending;
+  clk_ms direct_after_ms; /* no platform call before this time */
+  bool answers_pending;
   bool leaving_sent;
 };
 
 static const char *const mode_names[] = {
   [SYNC_OFF] = "pull",
-  [SYNC_START] = "start",
+  [SYNC_BOOTSTRAP] = "start",
   [SYNC_DIRECT] = "direct",
   [SYNC_RELAY] = "relay",
 };
 
 static void
-serve_news (void *arg)
+answer_pulls (void *arg)
 {
   struct sync *sync = arg;
-  sync->news_pending = false;
-  sync_serve_news (sync->serve);
+  sync->answers_pending = false;
+  sync_serve_changed (sync->serve);
 }
 
 static void
-news (struct sync *sync)
+schedule_answers (struct sync *sync)
 {
-  if (sync->news_pending)
+  if (sync->answers_pending)
     return;
-  sync->news_pending = true;
-  kernel_defer (sync->base.kernel, serve_news, sync);
+  sync->answers_pending = true;
+  kernel_defer (sync->base.kernel, answer_pulls, sync);
 }
 
 static enum sync_mode
@@ -73,33 +82,33 @@
   if (now_ms < sync->direct_after_ms)
     return SYNC_OFF;
   if (!sync->state.hosts.known)
-    return SYNC_START;
+    return SYNC_BOOTSTRAP;
   if (sync->tree.relay)
     return SYNC_RELAY;
-  bool cut_off = sync_pull_exhausted (sync->pull)
-                 || sync_pull_failing_ms (sync->pull) > PULL_FAILING_MS;
-  return cut_off ? SYNC_DIRECT : SYNC_OFF;
+  bool isolated = sync_pull_exhausted (sync->pull)
+                  || sync_pull_failing_ms (sync->pull) > PULL_FAILING_MS;
+  return isolated ? SYNC_DIRECT : SYNC_OFF;
 }
 
 static bool
-wants_pull (struct sync *sync, enum sync_mode mode)
+needs_pull (struct sync *sync, enum sync_mode mode)
 {
   clk_ms now_ms = kernel_now (sync->base.kernel);
   if (!sync->state.hosts.known)
-    return now_ms >= sync->started_ms + SEEDS_AFTER_MS && sync->seeds != NULL;
+    return now_ms >= sync->started_ms + SEEDS_DELAY_MS && sync->seeds != NULL;
   return mode != SYNC_RELAY
          || sync_watch_failing_ms (sync->watch) > PLATFORM_FAILING_MS;
 }
 
-/* Chooses between watching the platform and pulling from a host.  */
+/* Chooses between watching the platform and pulling from another host.  */
 static void
-choose_role (struct sync *sync)
+update_role (struct sync *sync)
 {
   sync_tree_refresh (&sync->tree);
   enum sync_mode before = sync_watch_mode (sync->watch);
   enum sync_mode mode = choose_mode (sync);
   sync_watch_set_mode (sync->watch, mode);
-  sync_pull_set_running (sync->pull, wants_pull (sync, mode));
+  sync_pull_set_running (sync->pull, needs_pull (sync, mode));
   if (mode == before)
     return;
   log_event (kernel_log (sync->base.kernel), LOG_INFO, "sync_role",
@@ -114,8 +123,8 @@
 state_changed (void *arg)
 {
   struct sync *sync = arg;
-  choose_role (sync);
-  news (sync);
+  update_role (sync);
+  schedule_answers (sync);
 }
 
 static void
@@ -123,10 +132,11 @@
 {
   struct sync *sync = arg;
   struct kernel *kernel = sync->base.kernel;
-  choose_role (sync);
+  update_role (sync);
   if (members_self (sync->state.members)->leaving && !sync->leaving_sent)
     sync_publish_leaving (sync);
-  kernel_timer_set (kernel, &sync->tick, kernel_now (kernel) + TICK_MS);
+  kernel_timer_set (kernel, &sync->tick,
+                    kernel_now (kernel) + TICK_INTERVAL_MS);
 }
 
 static void
@@ -135,7 +145,7 @@
 {
   (void)database;
   (void)record;
-  news (arg);
+  schedule_answers (arg);
 }
 
 static void
@@ -144,7 +154,7 @@
   struct sync *sync = arg;
   peer_body body = { .kind = PEER_KIND_NONE };
   sync_update_apply_push (&sync->state, &message->body.peer_body_u.update);
-  news (sync);
+  schedule_answers (sync);
   peers_reply (sync->peers, call, &body);
 }
 
@@ -316,7 +326,7 @@
   const peer_update update
       = { .hosts = { .hosts_len = 1, .hosts_val = &mark } };
   sync->leaving_sent = true;
-  sync_state_leaving (&sync->state, self->address.name,
-                      self->address.incarnation);
+  sync_state_mark_leaving (&sync->state, self->address.name,
+                           self->address.incarnation);
   push_update (sync, &update);
 }
--- a/src/core/sync.h
+++ b/src/core/sync.h
@@ -1,10 +1,12 @@
-/* sync - keeps configuration, term records and list of hosts up to date.
+/* sync - replicates the configuration, the term records and the list of hosts
+   from the platform to all hosts.
 
-   A few hosts of each failure domain are relays, which watch the platform;
-   all others pull from them along a tree.  A host that starts asks the
-   platform for the list of hosts, and its seeds while the platform is down.
-   A host that reaches no other goes to the platform itself.  What is known
-   never goes back: a lower revision or index is ignored, whoever sends it.
+   SYNC_RELAYS hosts of each failure domain are relays, which watch the
+   platform; all other hosts pull from them along a tree.  A starting host
+   reads the list of hosts from the platform, or pulls from its seeds while
+   the platform is unavailable.  A host that can reach no other host reads
+   the platform itself.  State never regresses: a lower revision or index is
+   ignored, whichever host sends it.
 
    Module name: "sync".  */
 
@@ -18,44 +20,47 @@
 
 struct sync;
 
-/* SEEDS are copied; their incarnations may be 0.  */
+/* Copies SEEDS, whose incarnations may be 0 for unknown.  */
 struct sync *sync_new (struct platform_port *platform, struct view *view,
                        size_t seed_count, const struct peer_address *seeds);
 struct module *sync_module (struct sync *sync);
 
-/* Revision of the configuration in force on this host; 0 if none.  */
+/* Returns the revision of the configuration in force on this host; 0 if
+   none.  */
 uint64_t sync_revision (const struct sync *sync);
 
-/* Bound on the age of the term records: they were surely current that long
-   ago, counted from when the read of the platform was sent.  CLK_NEVER if
-   they have not been read yet.  */
+/* Returns an upper bound on the staleness of the term records: the time since
+   the platform read that returned them was sent.  CLK_NEVER if they have not
+   been read yet.  */
 clk_ms sync_view_age_ms (const struct sync *sync);
 
-/* Whether configuration, term records and hosts have been taken in.  */
+/* Returns whether configuration, term records and list of hosts have been
+   received at least once.  */
 bool sync_ready (const struct sync *sync);
 
-/* Whether this host is one that watches the platform for others.  */
+/* Returns whether this host watches the platform on behalf of others.  */
 bool sync_is_relay (const struct sync *sync);
 
-/* How many hosts have a revision in force.  */
+/* The number of hosts on which a revision is in force.  */
 struct sync_share
 {
   uint64_t revision;
   uint32_t hosts;
 };
 
-/* Counts the hosts by revision, asking along the tree, and calls DONE with
-   the result, once, within a few seconds.  SHARES are sorted by falling
-   revision; hosts of the list that nobody heard from count as revision 0.  */
+/* Counts the hosts by revision with queries along the tree, and calls DONE
+   with the result, once, within a few seconds.  SHARES are sorted by
+   descending revision; listed hosts that did not answer count as
+   revision 0.  */
 typedef void (*sync_status_done) (void *arg, const struct sync_share *shares,
                                   size_t count);
 void sync_status (struct sync *sync, sync_status_done done, void *arg);
 
-/* Sends the term record of DATABASE, as this host knows it, to all relays
-   at once, without waiting for their next look at the platform.  */
+/* Pushes this host's term record of DATABASE to all relays, which would
+   otherwise read it from the platform only later.  */
 void sync_publish_term (struct sync *sync, const char *database);
 
-/* Tells all relays that this host is leaving.  */
+/* Notifies all relays that this host is leaving.  */
 void sync_publish_leaving (struct sync *sync);
 
 #endif
--- a/src/core/sync_census.c
+++ b/src/core/sync_census.c
@@ -5,10 +5,12 @@
 
 #include "kernel/mem.h"
 
-/* Time for the answers of relays; each level below has half of it.  */
-#define ROOT_TIMEOUT_MS 2000
+/* Timeout of a query to a relay.  Halves with each level of the tree below, so
+   that a late child does not time out its parent.  */
+#define RELAY_TIMEOUT_MS 2000
 
-/* One count under way: for a caller (done) or for another host (call).  */
+/* A count in progress, for a local requester (done) or a query of another
+   host (call).  */
 struct count
 {
   struct sync_census *census;
@@ -17,20 +19,21 @@
   uint64_t call;
   sync_status_done done;
   void *arg;
-  size_t outstanding;
-  size_t share_count;
-  struct sync_share *shares;
+  size_t outstanding; /* queries in flight, plus 1 while they are sent */
+  size_t entry_count;
+  struct sync_share *entries;
 };
 
-/* A question to one host; falls back to REVISION if it stays unanswered.  */
-struct question
+/* A query to one host.  If it fails and the host is a child, the host counts
+   with the revision of its last pull.  */
+struct query
 {
   struct count *count;
   uint64_t id;
   uint64_t revision;
-  bool known; /* whether it has pulled from this host */
-  struct question *prev;
-  struct question *next;
+  bool has_revision; /* true if the host has pulled from this one */
+  struct query *prev;
+  struct query *next;
 };
 
 struct sync_census
@@ -40,23 +43,23 @@
   struct sync_serve *serve;
   struct peers *peers;
   struct count *counts;
-  struct question *questions;
+  struct query *queries;
 };
 
 static void
-add_share (struct count *count, uint64_t revision, uint32_t hosts)
+add_hosts (struct count *count, uint64_t revision, uint32_t hosts)
 {
-  for (size_t i = 0; i < count->share_count; i++)
-    if (count->shares[i].revision == revision)
+  for (size_t i = 0; i < count->entry_count; i++)
+    if (count->entries[i].revision == revision)
       {
-        count->shares[i].hosts += hosts;
+        count->entries[i].hosts += hosts;
         return;
       }
-  if (hosts == 0 || count->share_count == PEER_BATCH_LIMIT)
+  if (hosts == 0 || count->entry_count == PEER_BATCH_LIMIT)
     return;
-  count->shares = mem_resize (count->shares, (count->share_count + 1)
-                                                 * sizeof *count->shares);
-  count->shares[count->share_count++]
+  count->entries = mem_resize (count->entries, (count->entry_count + 1)
+                                                   * sizeof *count->entries);
+  count->entries[count->entry_count++]
       = (struct sync_share){ .revision = revision, .hosts = hosts };
 }
 
@@ -65,7 +68,7 @@
 {
   struct count *count = mem_zalloc (sizeof *count);
   count->census = census;
-  count->outstanding = 1; /* until all questions are sent */
+  count->outstanding = 1; /* until all queries have been sent */
   DL_APPEND (census->counts, count);
   return count;
 }
@@ -74,12 +77,12 @@
 count_free (struct count *count)
 {
   DL_DELETE (count->census->counts, count);
-  free (count->shares);
+  free (count->entries);
   free (count);
 }
 
 static int
-by_falling_revision (const void *a, const void *b)
+by_revision_descending (const void *a, const void *b)
 {
   uint64_t x = ((const struct sync_share *)a)->revision;
   uint64_t y = ((const struct sync_share *)b)->revision;
@@ -87,88 +90,89 @@
 }
 
 static void
-send_answer (struct count *count)
+send_reply (struct count *count)
 {
   peer_body body = { .kind = PEER_KIND_CENSUS };
   peer_census *census = &body.peer_body_u.census;
   census->revisions.revisions_val
-      = mem_zalloc (count->share_count * sizeof (peer_census_entry));
-  census->revisions.revisions_len = (u_int)count->share_count;
-  for (size_t i = 0; i < count->share_count; i++)
+      = mem_zalloc (count->entry_count * sizeof (peer_census_entry));
+  census->revisions.revisions_len = (u_int)count->entry_count;
+  for (size_t i = 0; i < count->entry_count; i++)
     census->revisions.revisions_val[i]
-        = (peer_census_entry){ .revision = count->shares[i].revision,
-                               .hosts = count->shares[i].hosts };
+        = (peer_census_entry){ .revision = count->entries[i].revision,
+                               .hosts = count->entries[i].hosts };
   peers_reply (count->census->peers, count->call, &body);
   free (census->revisions.revisions_val);
 }
 
 static void
-call_done (struct count *count)
+report_count (struct count *count)
 {
   uint32_t counted = 0;
   size_t members = members_count (count->census->state->members);
-  for (size_t i = 0; i < count->share_count; i++)
-    counted += count->shares[i].hosts;
+  for (size_t i = 0; i < count->entry_count; i++)
+    counted += count->entries[i].hosts;
   if (counted < members)
-    add_share (count, 0, (uint32_t)(members - counted));
-  if (count->share_count > 1)
-    qsort (count->shares, count->share_count, sizeof *count->shares,
-           by_falling_revision);
-  count->done (count->arg, count->shares, count->share_count);
+    add_hosts (count, 0, (uint32_t)(members - counted));
+  if (count->entry_count > 1)
+    qsort (count->entries, count->entry_count, sizeof *count->entries,
+           by_revision_descending);
+  count->done (count->arg, count->entries, count->entry_count);
 }
 
 static void
-release (struct count *count)
+count_release (struct count *count)
 {
   if (--count->outstanding > 0)
     return;
   if (count->done != NULL)
-    call_done (count);
+    report_count (count);
   else
-    send_answer (count);
+    send_reply (count);
   count_free (count);
 }
 
 static void
-question_done (void *arg, enum peer_status status, const peer_message *reply)
+query_done (void *arg, enum peer_status status, const peer_message *reply)
 {
-  struct question *question = arg;
-  struct count *count = question->count;
-  DL_DELETE (count->census->questions, question);
+  struct query *query = arg;
+  struct count *count = query->count;
+  DL_DELETE (count->census->queries, query);
   if (status == PEER_OK && reply->body.kind == PEER_KIND_CENSUS)
     {
       const peer_census *census = &reply->body.peer_body_u.census;
       for (u_int i = 0; i < census->revisions.revisions_len; i++)
-        add_share (count, census->revisions.revisions_val[i].revision,
+        add_hosts (count, census->revisions.revisions_val[i].revision,
                    census->revisions.revisions_val[i].hosts);
     }
-  else if (question->known)
-    add_share (count, question->revision, 1);
-  free (question);
-  release (count);
+  else if (query->has_revision)
+    add_hosts (count, query->revision, 1);
+  free (query);
+  count_release (count);
 }
 
 static void
-ask (struct count *count, const struct member *host, clk_ms timeout_ms,
-     bool known, uint64_t revision)
+send_query (struct count *count, const struct member *host, clk_ms timeout_ms,
+            bool has_revision, uint64_t revision)
 {
   struct sync_census *census = count->census;
-  struct question *question = mem_zalloc (sizeof *question);
+  struct query *query = mem_zalloc (sizeof *query);
   peer_body body = { .kind = PEER_KIND_CENSUS };
-  question->count = count;
-  question->known = known;
-  question->revision = revision;
+  query->count = count;
+  query->has_revision = has_revision;
+  query->revision = revision;
   count->outstanding++;
-  DL_APPEND (census->questions, question);
-  question->id = peers_call (census->peers, &host->address, &body, timeout_ms,
-                             question_done, question);
+  DL_APPEND (census->queries, query);
+  query->id = peers_call (census->peers, &host->address, &body, timeout_ms,
+                          query_done, query);
 }
 
-/* A level's time is half of that of the level above.  */
+/* Returns the timeout of queries to children: half that of the level
+   above.  */
 static clk_ms
 level_timeout_ms (const struct sync_tree *tree)
 {
-  clk_ms timeout_ms = ROOT_TIMEOUT_MS / 2;
+  clk_ms timeout_ms = RELAY_TIMEOUT_MS / 2;
   size_t rank = tree->rank;
   while (rank >= SYNC_RELAYS && timeout_ms > 1)
     {
@@ -179,28 +183,29 @@
 }
 
 static void
-ask_child (void *arg, const char *host, uint64_t revision)
+query_child (void *arg, const char *host, uint64_t revision)
 {
   struct count *count = arg;
   struct sync_census *census = count->census;
   const struct member *member = members_find (census->state->members, host);
   if (member == NULL || sync_tree_is_relay (census->tree, host))
     return;
-  ask (count, member, level_timeout_ms (census->tree), true, revision);
+  send_query (count, member, level_timeout_ms (census->tree), true, revision);
 }
 
 static void
 count_subtree (struct count *count)
 {
   struct sync_census *census = count->census;
-  add_share (count, census->state->store.revision, 1);
-  sync_serve_each (census->serve, ask_child, count);
+  add_hosts (count, census->state->store.revision, 1);
+  sync_serve_each (census->serve, query_child, count);
 }
 
-/* While a count is under way, hosts that pull from one another in a circle
-   would ask each other without end.  */
+/* While a count for another host is in progress, reports only this host: hosts
+   that pull from each other in a cycle would otherwise query each other
+   endlessly.  */
 static void
-handle_census (void *arg, uint64_t call, const peer_message *message)
+handle_query (void *arg, uint64_t call, const peer_message *message)
 {
   struct sync_census *census = arg;
   (void)message;
@@ -210,16 +215,16 @@
   struct count *count = count_new (census);
   count->call = call;
   if (nested)
-    add_share (count, census->state->store.revision, 1);
+    add_hosts (count, census->state->store.revision, 1);
   else
     count_subtree (count);
-  release (count);
+  count_release (count);
 }
 
 static void
-ask_relay (void *arg, const struct member *relay)
+query_relay (void *arg, const struct member *relay)
 {
-  ask (arg, relay, ROOT_TIMEOUT_MS, false, 0);
+  send_query (arg, relay, RELAY_TIMEOUT_MS, false, 0);
 }
 
 void
@@ -232,8 +237,8 @@
   sync_tree_refresh (census->tree);
   if (census->tree->relay)
     count_subtree (count);
-  sync_tree_each_relay (census->tree, ask_relay, count);
-  release (count);
+  sync_tree_each_relay (census->tree, query_relay, count);
+  count_release (count);
 }
 
 struct sync_census *
@@ -245,7 +250,7 @@
   census->tree = tree;
   census->serve = serve;
   census->peers = peers;
-  peers_handle (peers, PEER_KIND_CENSUS, handle_census, census);
+  peers_handle (peers, PEER_KIND_CENSUS, handle_query, census);
   return census;
 }
 
@@ -254,11 +259,11 @@
 {
   if (census == NULL)
     return;
-  struct question *question, *next_question;
-  DL_FOREACH_SAFE (census->questions, question, next_question)
+  struct query *query, *next_query;
+  DL_FOREACH_SAFE (census->queries, query, next_query)
   {
-    peers_cancel (census->peers, question->id);
-    free (question);
+    peers_cancel (census->peers, query->id);
+    free (query);
   }
   struct count *count, *next;
   DL_FOREACH_SAFE (census->counts, count, next) { count_free (count); }
--- a/src/core/sync_census.h
+++ b/src/core/sync_census.h
@@ -1,7 +1,8 @@
-/* sync_census - counts the hosts by configuration revision.
+/* sync_census - counts the hosts by configuration revision, for operators who
+   follow a rollout.
 
-   A host that is asked counts itself and asks those that pull from it; the
-   one that starts asks all relays.  */
+   The initiating host queries all relays.  A host that receives a query
+   counts itself and queries the hosts that pull from it.  */
 
 #ifndef SAVORYWAY_CORE_SYNC_CENSUS_H
 #define SAVORYWAY_CORE_SYNC_CENSUS_H
@@ -18,7 +19,7 @@
                                      struct peers *peers);
 void sync_census_free (struct sync_census *census);
 
-/* See sync_status.  */
+/* Starts a count; see sync_status.  */
 void sync_census_start (struct sync_census *census, sync_status_done done,
                         void *arg);
 
--- a/src/core/sync_head.c
+++ b/src/core/sync_head.c
@@ -3,7 +3,7 @@
 #include <jansson.h>
 #include <string.h>
 
-/* Returns false if there is no room for TEAM.  */
+/* Adds TEAM unless present.  Returns false if it does not fit.  */
 static bool
 add_team (struct sync_head *head, const char *team)
 {
@@ -11,7 +11,7 @@
     if (strcmp (head->teams[i], team) == 0)
       return true;
   size_t length = strlen (team);
-  if (head->team_count == SYNC_READS_MAX || length >= NAME_BYTES)
+  if (head->team_count == SYNC_HEAD_TEAMS_MAX || length >= NAME_BYTES)
     return false;
   memcpy (head->teams[head->team_count++], team, length + 1);
   return true;
@@ -23,7 +23,7 @@
   size_t i;
   json_t *change;
   uint64_t oldest = head->revision + 1;
-  bool room = true;
+  bool complete = true;
   json_array_foreach (changes, i, change)
   {
     json_int_t revision;
@@ -36,9 +36,9 @@
     if ((uint64_t)revision < oldest)
       oldest = (uint64_t)revision;
     if ((uint64_t)revision > since)
-      room = add_team (head, team) && room;
+      complete = add_team (head, team) && complete;
   }
-  head->complete = room && oldest <= since + 1;
+  head->complete = complete && oldest <= since + 1;
   return true;
 }
 
--- a/src/core/sync_hosts.c
+++ b/src/core/sync_hosts.c
@@ -6,7 +6,8 @@
 
 #include "kernel/mem.h"
 
-#define REMOVED_LIMIT 2048
+/* Most removed hosts that are kept.  */
+#define REMOVED_MAX 2048
 
 static void
 host_free (struct sync_hosts *hosts, struct sync_host *entry)
@@ -40,18 +41,18 @@
   return entry;
 }
 
-/* Drops the oldest removals beyond the limit; who has not seen those needs
-   the whole list.  */
+/* Discards the oldest removals beyond the limit.  A host that has not received
+   them needs the whole list.  */
 static void
 limit_removed (struct sync_hosts *hosts)
 {
-  while (hosts->removed_count > REMOVED_LIMIT && hosts->by_name != NULL)
+  while (hosts->removed_count > REMOVED_MAX && hosts->by_name != NULL)
     {
       struct sync_host *entry = oldest_removed (hosts);
       if (entry == NULL)
         return;
-      if (entry->changed_index > hosts->floor)
-        hosts->floor = entry->changed_index;
+      if (entry->changed_index > hosts->full_before)
+        hosts->full_before = entry->changed_index;
       hosts->removed_count--;
       host_free (hosts, entry);
     }
@@ -68,7 +69,7 @@
   if (entry != NULL && entry->removed == removed
       && (removed || same_host (&entry->host, host)))
     {
-      entry->marked = true;
+      entry->listed = true;
       return;
     }
   if (entry == NULL)
@@ -83,7 +84,7 @@
   hosts->removed_count -= (size_t)entry->removed;
   entry->host = *host;
   entry->removed = removed;
-  entry->marked = true;
+  entry->listed = true;
   entry->changed_index = index;
   DL_APPEND (hosts->by_change, entry);
   hosts->change_index = index;
@@ -117,16 +118,16 @@
   if (hosts->known && index < hosts->index)
     return;
   for (struct sync_host *h = hosts->by_name; h != NULL; h = h->hh.next)
-    h->marked = false;
+    h->listed = false;
   for (size_t i = 0; i < count; i++)
     sync_hosts_change (hosts, index, &list[i], false);
   struct sync_host *entry, *next;
   HASH_ITER (hh, hosts->by_name, entry, next)
   {
-    if (!entry->marked && !entry->removed)
+    if (!entry->listed && !entry->removed)
       sync_hosts_change (hosts, index, &entry->host, true);
   }
   if (!hosts->known)
-    hosts->floor = index;
+    hosts->full_before = index;
   sync_hosts_end (hosts, index);
 }
--- a/src/core/sync_pull.c
+++ b/src/core/sync_pull.c
@@ -4,44 +4,50 @@
 
 #include "kernel/mem.h"
 
+/* Time for which the first parent may hold a pull.  */
 #define WAIT_MS 1000
-#define GRACE_MS 500
 
-/* Least time between two pulls that succeed.  */
-#define GAP_MS 10
+/* Added to the wait of a pull to give its timeout.  */
+#define TIMEOUT_MARGIN_MS 500
 
-/* Another parent than the first is asked with a short wait, and left after
-   this span, so that the first one is soon back or soon suspected.  */
+/* Delay of the next pull after a successful one.  */
+#define MIN_INTERVAL_MS 10
+
+/* Wait of pulls from a parent other than the first, and the time after which
+   the first one is tried again.  Both are short, so that this host soon
+   returns to the first parent or soon suspects it.  */
 #define FALLBACK_WAIT_MS 300
-#define PREFER_MS 500
+#define FALLBACK_SPAN_MS 500
 
-/* While the view is older than this, another parent is tried once in a
-   while; the first is kept unless the other has a younger one.  */
+/* While the view is older than STALE_MS, another parent, whose view may be
+   younger, is tried every STALE_RETRY_MS.  */
 #define STALE_MS 4000
 #define STALE_RETRY_MS 3000
 
+/* Range of the backoff after all parents have failed.  */
 #define RETRY_MIN_MS 100
 #define RETRY_MAX_MS 3000
 
-/* Rounds of all parents failing, after which there is none to count on.  */
-#define EXHAUSTED_ROUNDS 3
+/* Consecutive rounds in which all parents fail, after which the host reads the
+   platform itself.  */
+#define FAILED_ROUNDS_MAX 3
 
 struct sync_pull
 {
   struct sync_state *state;
   struct sync_tree *tree;
   struct peers *peers;
-  void (*news) (void *);
+  void (*changed) (void *);
   void *arg;
   bool running;
   bool exhausted;
-  bool tried; /* the parent has answered since it was chosen */
-  size_t parent;
+  bool parent_answered; /* since it was chosen */
+  size_t parent;        /* index into the tree's parents */
   clk_ms parent_since_ms;
   clk_ms stale_retry_ms;
-  size_t other;            /* last one tried while the view was stale */
-  clk_ms failing_since_ms; /* CLK_NEVER while it works */
-  uint32_t rounds;         /* of all parents failing */
+  size_t alternative;      /* last one tried because of a stale view */
+  clk_ms failing_since_ms; /* CLK_NEVER if the last pull succeeded */
+  uint32_t failed_rounds;  /* consecutive, all parents failed */
   uint64_t call;
   clk_ms sent_ms;
   struct ktimer timer;
@@ -60,24 +66,24 @@
 {
   pull->parent = parent;
   pull->parent_since_ms = kernel_now (pull->state->kernel);
-  pull->tried = false;
+  pull->parent_answered = false;
 }
 
-/* Waits for a random time that grows with the rounds that failed.  */
+/* Schedules the next round with exponential backoff and full jitter.  */
 static void
 round_failed (struct sync_pull *pull)
 {
-  uint32_t shift = pull->rounds < 5 ? pull->rounds : 5;
+  uint32_t shift = pull->failed_rounds < 5 ? pull->failed_rounds : 5;
   clk_ms span_ms = RETRY_MIN_MS << shift;
   if (span_ms > RETRY_MAX_MS)
     span_ms = RETRY_MAX_MS;
-  pull->rounds++;
-  pull->exhausted = pull->rounds >= EXHAUSTED_ROUNDS;
+  pull->failed_rounds++;
+  pull->exhausted = pull->failed_rounds >= FAILED_ROUNDS_MAX;
   choose_parent (pull, 0);
   schedule (pull, 1
                       + (clk_ms)rng_below (kernel_rng (pull->state->kernel),
                                            (uint64_t)span_ms));
-  pull->news (pull->arg);
+  pull->changed (pull->arg);
 }
 
 static void
@@ -92,14 +98,15 @@
     schedule (pull, 0);
 }
 
-/* Asks each of the other parents in turn, one at a time.  */
+/* Switches to the next of the other parents, in rotation.  */
 static void
-try_other (struct sync_pull *pull, clk_ms now_ms)
+try_alternative (struct sync_pull *pull, clk_ms now_ms)
 {
   pull->stale_retry_ms = now_ms + STALE_RETRY_MS;
-  pull->other++;
+  pull->alternative++;
   if (pull->tree->parent_count > 1)
-    choose_parent (pull, 1 + pull->other % (pull->tree->parent_count - 1));
+    choose_parent (pull,
+                   1 + pull->alternative % (pull->tree->parent_count - 1));
 }
 
 static void
@@ -108,17 +115,18 @@
   clk_ms now_ms = kernel_now (pull->state->kernel);
   pull->failing_since_ms = CLK_NEVER;
   pull->exhausted = false;
-  pull->rounds = 0;
-  pull->tried = true;
+  pull->failed_rounds = 0;
+  pull->parent_answered = true;
   bool stale = pull->state->terms_ms < now_ms - STALE_MS;
   if (stale && now_ms >= pull->stale_retry_ms)
-    try_other (pull, now_ms);
-  else if (pull->parent > 0 && now_ms - pull->parent_since_ms > PREFER_MS)
+    try_alternative (pull, now_ms);
+  else if (pull->parent > 0
+           && now_ms - pull->parent_since_ms > FALLBACK_SPAN_MS)
     choose_parent (pull, 0);
   if (pull->parent >= pull->tree->parent_count)
     choose_parent (pull, 0);
-  schedule (pull, GAP_MS);
-  pull->news (pull->arg);
+  schedule (pull, MIN_INTERVAL_MS);
+  pull->changed (pull->arg);
 }
 
 static void
@@ -150,10 +158,10 @@
       round_failed (pull);
       return;
     }
-  /* The first pull from a parent does not wait, to learn soon whether it
-     answers.  */
+  /* The first pull from a parent does not wait, so that a parent that does
+     not answer is detected soon.  */
   clk_ms wait_ms = pull->parent == 0 ? WAIT_MS : FALLBACK_WAIT_MS;
-  if (!pull->tried || !sync_state_ready (state))
+  if (!pull->parent_answered || !sync_state_ready (state))
     wait_ms = 0;
   peer_body body = {
     .kind = PEER_KIND_PULL,
@@ -163,19 +171,20 @@
                           .wait_ms = wait_ms },
   };
   pull->sent_ms = kernel_now (state->kernel);
-  pull->call = peers_call (pull->peers, &pull->tree->parents[pull->parent],
-                           &body, wait_ms + GRACE_MS, pull_done, pull);
+  pull->call
+      = peers_call (pull->peers, &pull->tree->parents[pull->parent], &body,
+                    wait_ms + TIMEOUT_MARGIN_MS, pull_done, pull);
 }
 
 struct sync_pull *
 sync_pull_new (struct sync_state *state, struct sync_tree *tree,
-               struct peers *peers, void (*news) (void *), void *arg)
+               struct peers *peers, void (*changed) (void *), void *arg)
 {
   struct sync_pull *pull = mem_zalloc (sizeof *pull);
   pull->state = state;
   pull->tree = tree;
   pull->peers = peers;
-  pull->news = news;
+  pull->changed = changed;
   pull->arg = arg;
   pull->failing_since_ms = CLK_NEVER;
   pull->timer.fire = pull_fire;
@@ -208,7 +217,7 @@
     peers_cancel (pull->peers, pull->call);
   pull->call = 0;
   choose_parent (pull, 0);
-  pull->rounds = 0;
+  pull->failed_rounds = 0;
   pull->exhausted = false;
   pull->failing_since_ms = CLK_NEVER;
 }
--- a/src/core/sync_pull.h
+++ b/src/core/sync_pull.h
@@ -1,8 +1,9 @@
-/* sync_pull - keeps this host up to date from another host.
+/* sync_pull - keeps this host's state up to date from another host, its parent
+   in the tree.
 
-   Sends one pull at a time, which the other side answers when it has news.
-   When a parent fails or has nothing fresh, the next one of the tree is
-   asked.  */
+   Sends one pull at a time, a long poll that the parent answers when its
+   state has changed.  If a parent fails or its view is stale, pulls from the
+   next parent that the tree gives.  */
 
 #ifndef SAVORYWAY_CORE_SYNC_PULL_H
 #define SAVORYWAY_CORE_SYNC_PULL_H
@@ -13,19 +14,20 @@
 
 struct sync_pull;
 
-/* NEWS (ARG) is called after each answer.  */
+/* Calls CHANGED (ARG) after each answer and when all parents have failed.  */
 struct sync_pull *sync_pull_new (struct sync_state *state,
                                  struct sync_tree *tree, struct peers *peers,
-                                 void (*news) (void *), void *arg);
+                                 void (*changed) (void *), void *arg);
 void sync_pull_free (struct sync_pull *pull);
 
 void sync_pull_set_running (struct sync_pull *pull, bool running);
 
-/* Returns how long no parent has answered; 0 if the last pull succeeded or
+/* Returns for how long pulls have failed; 0 if the last one succeeded or
    while not running.  */
 clk_ms sync_pull_failing_ms (const struct sync_pull *pull);
 
-/* Whether all parents have failed since the last answer.  */
+/* Returns whether all parents have failed repeatedly since the last
+   answer.  */
 bool sync_pull_exhausted (const struct sync_pull *pull);
 
 #endif
--- a/src/core/sync_serve.c
+++ b/src/core/sync_serve.c
@@ -6,32 +6,38 @@
 
 #include "kernel/mem.h"
 
+/* Most hosts served; pulls of further ones are refused.  */
 #define CHILDREN_MAX 4096
+
+/* Longest time for which a pull is held, whatever wait it requests.  */
 #define WAIT_MAX_MS 10000
 
-/* Least time between two answers with news to one host.  */
-#define NEWS_GAP_MS 100
+/* Minimum interval between two answers with changes to one host.  */
+#define CHANGES_INTERVAL_MS 100
 
-/* A held pull is also answered once the view is younger by this than at the
-   last answer, so that its age is passed down the tree without waits that
-   add up.  A large fleet saves bytes.  */
+/* A held pull is also answered once the view was refreshed by this much since
+   the last answer, so that the waits of the levels of the tree do not add up
+   to a stale view.  With more than LARGE_HOSTS hosts the interval is longer,
+   to save traffic.  */
 #define REFRESH_MS 400
 #define REFRESH_LARGE_MS 900
 #define LARGE_HOSTS 64
 
-/* A host that has not pulled for so long is no longer a child.  */
+/* Time since its last pull after which a host is no longer a child.  */
 #define CHILD_EXPIRY_MS 4000
-#define SWEEP_MS 2000
+
+/* Interval at which expired children are removed.  */
+#define SWEEP_INTERVAL_MS 2000
 
 struct child
 {
   struct sync_serve *serve;
   char host[NAME_BYTES];
   uint64_t incarnation;
-  uint64_t answered_seq; /* of the state, at the last answer */
+  uint64_t answered_seq; /* seq of the state at the last answer */
   uint64_t answered_terms_index;
   clk_ms answered_terms_ms;
-  clk_ms news_ms;    /* of the last answer with news */
+  clk_ms changes_ms; /* of the last answer with changes */
   clk_ms arrived_ms; /* of the last pull */
   uint64_t call;     /* held pull; 0 if none */
   peer_pull pull;
@@ -49,7 +55,7 @@
 };
 
 static bool
-has_news (const struct child *child)
+has_changes (const struct child *child)
 {
   const struct sync_state *state = child->serve->state;
   return state->store.revision > child->pull.config_revision
@@ -61,7 +67,7 @@
 }
 
 static bool
-has_refresh (const struct child *child)
+needs_refresh (const struct child *child)
 {
   const struct sync_state *state = child->serve->state;
   bool large = members_count (state->members) > LARGE_HOSTS;
@@ -70,7 +76,7 @@
 }
 
 static void
-answer (struct child *child)
+answer_pull (struct child *child)
 {
   struct sync_state *state = child->serve->state;
   peer_body body = { .kind = PEER_KIND_UPDATE };
@@ -78,10 +84,11 @@
   clk_ms now_ms = kernel_now (state->kernel);
   uint64_t call = child->call;
   sync_update_build (state, &child->pull, child->answered_seq, update);
-  /* The time for which the pull was held is known to the other side.  */
+  /* The receiver counts the age from the time at which it sent the pull, so
+     the time for which the pull was held is not part of it.  */
   update->view_age_ms -= now_ms - child->arrived_ms;
-  if (has_news (child))
-    child->news_ms = now_ms;
+  if (has_changes (child))
+    child->changes_ms = now_ms;
   child->answered_seq = state->seq;
   child->answered_terms_index = update->terms_index;
   child->answered_terms_ms = state->terms_ms;
@@ -91,19 +98,19 @@
   sync_update_clear (update);
 }
 
-/* Answers the held pull of CHILD, or sets when to look again.  */
+/* Answers the held pull of CHILD if due, or else sets its timer.  */
 static void
-consider (struct child *child)
+answer_or_wait (struct child *child)
 {
   struct kernel *kernel = child->serve->state->kernel;
   clk_ms now_ms = kernel_now (kernel);
   clk_ms due_ms = child->wait_until_ms;
   if (child->call == 0)
     return;
-  if (has_news (child) && child->news_ms + NEWS_GAP_MS < due_ms)
-    due_ms = child->news_ms + NEWS_GAP_MS;
-  if (due_ms <= now_ms || has_refresh (child))
-    answer (child);
+  if (has_changes (child) && child->changes_ms + CHANGES_INTERVAL_MS < due_ms)
+    due_ms = child->changes_ms + CHANGES_INTERVAL_MS;
+  if (due_ms <= now_ms || needs_refresh (child))
+    answer_pull (child);
   else
     kernel_timer_set (kernel, &child->timer, due_ms);
 }
@@ -111,7 +118,7 @@
 static void
 child_fire (void *arg)
 {
-  consider (arg);
+  answer_or_wait (arg);
 }
 
 static struct child *
@@ -129,7 +136,7 @@
       child = mem_zalloc (sizeof *child);
       child->serve = serve;
       memcpy (child->host, from->host, length);
-      child->news_ms = INT64_MIN / 2;
+      child->changes_ms = INT64_MIN / 2;
       child->answered_terms_ms = INT64_MIN / 2;
       child->timer.fire = child_fire;
       child->timer.arg = child;
@@ -168,7 +175,7 @@
       return;
     }
   if (child->call != 0)
-    answer (child);
+    answer_pull (child);
   clk_ms wait_ms = message->body.peer_body_u.pull.wait_ms;
   if (wait_ms > WAIT_MAX_MS)
     wait_ms = WAIT_MAX_MS;
@@ -176,17 +183,18 @@
   child->pull = message->body.peer_body_u.pull;
   child->arrived_ms = kernel_now (state->kernel);
   child->wait_until_ms = child->arrived_ms + wait_ms;
-  /* A host that starts does not wait for the gap.  */
+  /* A starting host has no state: it is sent everything, without a wait for
+     the next change.  */
   if (child->pull.hosts_index == 0)
     child->answered_seq = child->answered_terms_index = 0;
-  consider (child);
+  answer_or_wait (child);
 }
 
 void
-sync_serve_news (struct sync_serve *serve)
+sync_serve_changed (struct sync_serve *serve)
 {
   struct child *child, *next;
-  HASH_ITER (hh, serve->children, child, next) { consider (child); }
+  HASH_ITER (hh, serve->children, child, next) { answer_or_wait (child); }
 }
 
 static void
@@ -201,7 +209,7 @@
     if (child->call == 0 && now_ms - child->arrived_ms > CHILD_EXPIRY_MS)
       child_free (child);
   }
-  kernel_timer_set (kernel, &serve->sweep, now_ms + SWEEP_MS);
+  kernel_timer_set (kernel, &serve->sweep, now_ms + SWEEP_INTERVAL_MS);
 }
 
 struct sync_serve *
@@ -214,7 +222,7 @@
   serve->sweep.arg = serve;
   peers_handle (peers, PEER_KIND_PULL, handle_pull, serve);
   kernel_timer_set (state->kernel, &serve->sweep,
-                    kernel_now (state->kernel) + SWEEP_MS);
+                    kernel_now (state->kernel) + SWEEP_INTERVAL_MS);
   return serve;
 }
 
--- a/src/core/sync_serve.h
+++ b/src/core/sync_serve.h
@@ -1,8 +1,9 @@
-/* sync_serve - answers the pulls of other hosts, and counts revisions.
+/* sync_serve - answers the pulls of other hosts, the children of this one, and
+   records their revisions.
 
-   A pull that finds nothing new is held until there is news or its wait is
-   over.  Answers to one host with news are kept a short span apart, so that
-   many changes at once travel together.  */
+   A pull is a long poll: if nothing has changed it is held until there is a
+   change or its wait expires.  Answers with changes to the same host have a
+   minimum interval, so that simultaneous changes are sent in one answer.  */
 
 #ifndef SAVORYWAY_CORE_SYNC_SERVE_H
 #define SAVORYWAY_CORE_SYNC_SERVE_H
@@ -16,10 +17,10 @@
                                    struct peers *peers);
 void sync_serve_free (struct sync_serve *serve);
 
-/* Answers the pulls for which STATE now has news.  */
-void sync_serve_news (struct sync_serve *serve);
+/* Answers the held pulls for which STATE now has changes.  */
+void sync_serve_changed (struct sync_serve *serve);
 
-/* Returns how many hosts pull from this one, directly.  */
+/* Returns the number of hosts that pull directly from this one.  */
 size_t sync_serve_children (const struct sync_serve *serve);
 
 /* Calls FN for each host that pulls from this one, with the revision it
--- a/src/core/sync_state.c
+++ b/src/core/sync_state.c
@@ -52,8 +52,8 @@
 }
 
 void
-sync_state_leaving (struct sync_state *state, const char *host,
-                    uint64_t incarnation)
+sync_state_mark_leaving (struct sync_state *state, const char *host,
+                         uint64_t incarnation)
 {
   const struct member *member = members_find (state->members, host);
   if (member == NULL || member->address.incarnation != incarnation)
@@ -63,7 +63,7 @@
         && strcmp (state->marks[i].host, host) == 0)
       return;
   members_leaving (state->members, host, incarnation);
-  struct sync_mark *mark = &state->marks[state->mark_next];
+  struct sync_leaving_mark *mark = &state->marks[state->mark_next];
   state->mark_next = (state->mark_next + 1) % SYNC_MARKS_MAX;
   memcpy (mark->host, member->address.name, NAME_BYTES);
   mark->incarnation = incarnation;
--- a/src/core/sync_state.h
+++ b/src/core/sync_state.h
@@ -1,7 +1,8 @@
-/* sync_state - what this host knows of the system, and its exchange.
+/* sync_state - the replicated state of a host, and its exchange with others.
 
-   Holds configuration, list of hosts, leaving marks and how far the term
-   records are known, and turns them into updates for other hosts and back.  */
+   Comprises the configuration, the list of hosts, the leaving marks and the
+   index up to which the term records are known.  Builds updates for other
+   hosts from it and applies theirs to it.  */
 
 #ifndef SAVORYWAY_CORE_SYNC_STATE_H
 #define SAVORYWAY_CORE_SYNC_STATE_H
@@ -11,10 +12,12 @@
 #include "core/terms.h"
 #include "port/peer.h"
 
+/* Most leaving marks that are kept; the oldest is overwritten.  */
 #define SYNC_MARKS_MAX 256
 
-/* A host that said of itself that it leaves.  */
-struct sync_mark
+/* A leaving mark: a host has announced that it is leaving.  It reaches other
+   hosts before the platform's list shows the same.  */
+struct sync_leaving_mark
 {
   char host[NAME_BYTES];
   uint64_t incarnation;
@@ -29,11 +32,11 @@
   struct sync_store store;
   struct sync_hosts hosts;
   bool terms_known;
-  uint64_t terms_index; /* all records up to it are known */
-  clk_ms terms_ms;      /* the records were surely current at this time */
-  uint64_t seq;         /* rises with each new record or mark */
-  size_t mark_next;
-  struct sync_mark marks[SYNC_MARKS_MAX];
+  uint64_t terms_index; /* all records up to this index are known */
+  clk_ms terms_ms;      /* the records were certainly current at this time */
+  uint64_t seq;         /* incremented for each new record or mark */
+  size_t mark_next;     /* slot of the next mark */
+  struct sync_leaving_mark marks[SYNC_MARKS_MAX];
 };
 
 void sync_state_init (struct sync_state *state, struct kernel *kernel,
@@ -41,28 +44,32 @@
                       struct terms *terms);
 void sync_state_clear (struct sync_state *state);
 
-/* Whether configuration, hosts and terms have been taken in once.  */
+/* Returns whether configuration, hosts and terms have been received at least
+   once.  */
 bool sync_state_ready (const struct sync_state *state);
 
-/* Says that all term records up to INDEX are known, as of AT_MS.  */
+/* Records that all term records up to INDEX are known, as of AT_MS.  Neither
+   value decreases.  */
 void sync_state_terms_at (struct sync_state *state, uint64_t index,
                           clk_ms at_ms);
 
-/* Takes in that the host of this incarnation says it is leaving.  */
-void sync_state_leaving (struct sync_state *state, const char *host,
-                         uint64_t incarnation);
+/* Records that HOST of this incarnation has announced that it is leaving.
+   Ignored if no such host is a member.  */
+void sync_state_mark_leaving (struct sync_state *state, const char *host,
+                              uint64_t incarnation);
 
-/* Fills UPDATE with what is newer than PULL, and marks above MARK_SEQ; its
-   strings belong to STATE, its arrays are freed by sync_update_clear.  */
+/* Fills UPDATE with all state newer than that of PULL and the marks with a seq
+   above MARK_SEQ.  STATE owns its strings; its arrays are freed by
+   sync_update_clear.  */
 void sync_update_build (struct sync_state *state, const peer_pull *pull,
                         uint64_t mark_seq, peer_update *update);
 void sync_update_clear (peer_update *update);
 
-/* Takes in UPDATE, the answer to a pull sent at SENT_MS by host SOURCE.  */
+/* Applies UPDATE, the answer of host SOURCE to a pull sent at SENT_MS.  */
 void sync_update_apply (struct sync_state *state, const peer_update *update,
                         clk_ms sent_ms, const char *source);
 
-/* Takes in the term records and marks that a host sent on its own.  */
+/* Applies the term records and marks that a host pushed unrequested.  */
 void sync_update_apply_push (struct sync_state *state,
                              const peer_update *update);
 
--- a/src/core/sync_store.c
+++ b/src/core/sync_store.c
@@ -35,10 +35,11 @@
   return team;
 }
 
-/* A value that this version can't parse is kept and passed on, but the view
-   keeps what it had.  */
+/* Applies the value to the view.  A value that this version can't parse stays
+   in the store and is sent to other hosts, but the view keeps the previous
+   one.  */
 static void
-apply (struct sync_store *store, const struct sync_team *team)
+apply_to_view (struct sync_store *store, const struct sync_team *team)
 {
   struct findings findings = { 0 };
   if (view_apply (store->view, team->name, team->json, team->json_bytes,
@@ -60,7 +61,7 @@
   struct sync_team *team = team_get (store, name);
   if (team == NULL)
     return;
-  team->marked = true;
+  team->listed = true;
   if (revision > team->revision)
     team->revision = revision;
   if (index <= team->index && !MUTANT (apply_lower_revision))
@@ -70,7 +71,7 @@
   team->json_bytes = json_bytes;
   team->index = index;
   team->erased = false;
-  apply (store, team);
+  apply_to_view (store, team);
 }
 
 void
@@ -96,16 +97,16 @@
 sync_store_begin_full (struct sync_store *store)
 {
   for (struct sync_team *t = store->teams; t != NULL; t = t->hh.next)
-    t->marked = false;
+    t->listed = false;
 }
 
 void
 sync_store_end_full (struct sync_store *store, uint64_t revision)
 {
   for (struct sync_team *t = store->teams; t != NULL; t = t->hh.next)
-    if (!t->marked && !t->erased)
+    if (!t->listed && !t->erased)
       sync_store_erase (store, t->name, revision);
-  store->floor = revision;
+  store->full_before = revision;
 }
 
 void
--- a/src/core/sync_store.h
+++ b/src/core/sync_store.h
@@ -1,9 +1,9 @@
-/* sync_store - the configuration of all teams as text, with revisions.
+/* sync_store - the configuration of all teams as JSON text, with revisions.
 
-   Kept by every host so that any host can pass it on.  A team's value has
-   two numbers: the platform index of its last modification, by which two
-   copies are compared, and the configuration revision by which this host is
-   sure to have had it, by which changes are selected for others.  */
+   Every host keeps it, so that any host can serve others.  A team's value has
+   two version numbers.  The platform index of its last modification orders
+   two copies.  The configuration revision as of which this host certainly
+   had the value selects the changes to send to others.  */
 
 #ifndef SAVORYWAY_CORE_SYNC_STORE_H
 #define SAVORYWAY_CORE_SYNC_STORE_H
@@ -16,12 +16,12 @@
 struct sync_team
 {
   char name[NAME_BYTES];
-  uint64_t index;
-  uint64_t revision;
-  bool erased;
+  uint64_t index;    /* of the last modification in the platform */
+  uint64_t revision; /* as of which this host had the value */
+  bool erased;       /* the team has no value any more */
   char *json;
   size_t json_bytes;
-  bool marked; /* seen in the full list that is being taken in */
+  bool listed; /* in the full list that is being applied */
   UT_hash_handle hh;
 };
 
@@ -29,31 +29,33 @@
 {
   struct kernel *kernel;
   struct view *view;
-  bool known;        /* a configuration, maybe empty, has been taken in */
+  bool known;        /* a configuration, maybe empty, has been applied */
   uint64_t revision; /* all changes up to this one are in force */
-  uint64_t floor;    /* changes before this one are not known one by one */
+  /* Hosts with a revision below this one need the full configuration, as
+     individual changes before it are not known.  */
+  uint64_t full_before;
   struct sync_team *teams;
 };
 
 void sync_store_clear (struct sync_store *store);
 
-/* Takes in the value of TEAM as part of REVISION.  Ignored if INDEX is not
-   above that of the value known.  */
+/* Stores the value of TEAM as part of REVISION and applies it to the view.
+   Ignored if INDEX is not above that of the stored value.  */
 void sync_store_put (struct sync_store *store, const char *team,
                      uint64_t index, uint64_t revision, const char *json,
                      size_t json_bytes);
 
-/* Takes in that TEAM has no value any more, as part of REVISION.  */
+/* Erases the value of TEAM, as part of REVISION.  */
 void sync_store_erase (struct sync_store *store, const char *team,
                        uint64_t revision);
 
-/* Between these two, sync_store_put is called for every team there is;
-   those that are left out are erased.  */
+/* Replace the configuration of all teams: between these two, sync_store_put is
+   called for every team with a value.  All other teams are erased.  */
 void sync_store_begin_full (struct sync_store *store);
 void sync_store_end_full (struct sync_store *store, uint64_t revision);
 
-/* Says that all changes up to REVISION are in force.  A REVISION that is not
-   above the known one is ignored.  SOURCE is for the log.  */
+/* Records that all changes up to REVISION are in force.  Ignored if REVISION
+   is not above the current one.  SOURCE, a host or "platform", is logged.  */
 void sync_store_commit (struct sync_store *store, uint64_t revision,
                         const char *source);
 
--- a/src/core/sync_tree.c
+++ b/src/core/sync_tree.c
@@ -31,9 +31,10 @@
   tree->parents[tree->parent_count++] = *address;
 }
 
-/* Adds the parents of a host that is no relay, ORDER being its domain.  */
+/* Adds the parents in the own domain of a host that is not a relay: its parent
+   in the tree and a neighbour of that.  ORDER is the order of the domain.  */
 static void
-add_own_domain (struct sync_tree *tree, const struct member **order)
+add_own_domain_parents (struct sync_tree *tree, const struct member **order)
 {
   size_t parent = (tree->rank - SYNC_RELAYS) / SYNC_FANOUT;
   size_t neighbour = parent ^ 1;
@@ -50,7 +51,7 @@
 }
 
 static void
-add_other_domain (void *arg, const char *domain)
+add_other_domain_relay (void *arg, const char *domain)
 {
   struct sync_tree *tree = arg;
   const struct member *relay[SYNC_RELAYS];
@@ -78,14 +79,14 @@
   while (tree->rank + 1 < count && order[tree->rank] != self)
     tree->rank++;
   tree->relay = tree->rank < SYNC_RELAYS;
-  /* A relay that pulls can't read the platform; the other relay of its
-     domain probably can't either.  */
+  /* A relay pulls only if it can't read the platform.  The other relay of its
+     domain probably can't either, so other domains come first.  */
   if (!tree->relay)
     {
-      add_own_domain (tree, order);
+      add_own_domain_parents (tree, order);
       add_relays (tree, order, count);
     }
-  members_each_domain (tree->members, add_other_domain, tree);
+  members_each_domain (tree->members, add_other_domain_relay, tree);
   if (tree->relay)
     add_relays (tree, order, count);
   for (size_t i = 0; i < tree->seed_count; i++)
--- a/src/core/sync_update.c
+++ b/src/core/sync_update.c
@@ -7,7 +7,7 @@
 #include "kernel/mutant.h"
 #include "kernel/text.h"
 
-/* Age given for a view whose age is not known.  */
+/* Reported as the age of a view that has not been read yet.  */
 #define AGE_UNKNOWN_MS (INT64_C (1) << 40)
 
 static char empty[] = "";
@@ -20,8 +20,8 @@
   update->config_revision = store->revision;
   if (store->revision <= pull->config_revision)
     return;
-  bool full
-      = pull->config_revision == 0 || pull->config_revision < store->floor;
+  bool full = pull->config_revision == 0
+              || pull->config_revision < store->full_before;
   update->config_full = full;
   update->config.config_val
       = mem_zalloc (HASH_COUNT (store->teams) * sizeof (peer_entry));
@@ -74,7 +74,8 @@
     return;
   update->terms.terms_val = mem_zalloc (count * sizeof (peer_entry));
   terms_each_since (state->terms, pull->terms_index, build_term, update);
-  /* Records are sorted by index: a full batch covers up to its last.  */
+  /* Records are sorted by index, so a truncated batch is complete up to the
+     index of its last record.  */
   uint64_t last
       = update->terms.terms_val[update->terms.terms_len - 1].revision;
   if (update->terms.terms_len < count && last < update->terms_index)
@@ -100,12 +101,12 @@
              peer_update *update)
 {
   struct sync_hosts *hosts = &state->hosts;
-  size_t room = HASH_COUNT (hosts->by_name) + SYNC_MARKS_MAX;
+  size_t capacity = HASH_COUNT (hosts->by_name) + SYNC_MARKS_MAX;
   update->hosts_index = hosts->index;
-  update->hosts.hosts_val = mem_zalloc (room * sizeof (peer_host));
+  update->hosts.hosts_val = mem_zalloc (capacity * sizeof (peer_host));
   if (!hosts->known || hosts->change_index <= pull->hosts_index)
     return;
-  bool full = pull->hosts_index == 0 || pull->hosts_index < hosts->floor;
+  bool full = pull->hosts_index == 0 || pull->hosts_index < hosts->full_before;
   update->hosts_full = full;
   for (struct sync_host *h = hosts->by_change; h != NULL; h = h->next)
     {
@@ -115,13 +116,13 @@
     }
 }
 
-/* Marks travel as entries without an address.  */
+/* Marks are sent as host entries without an address.  */
 static void
 build_marks (struct sync_state *state, uint64_t mark_seq, peer_update *update)
 {
   for (size_t i = 0; i < SYNC_MARKS_MAX; i++)
     {
-      struct sync_mark *mark = &state->marks[i];
+      struct sync_leaving_mark *mark = &state->marks[i];
       if (mark->seq <= mark_seq || mark->seq == 0)
         continue;
       update->hosts.hosts_val[update->hosts.hosts_len++]
@@ -210,7 +211,7 @@
     {
       const peer_host *h = &update->hosts.hosts_val[i];
       if (is_mark (h) && h->leaving)
-        sync_state_leaving (state, h->name, h->incarnation);
+        sync_state_mark_leaving (state, h->name, h->incarnation);
     }
 }
 
--- a/src/core/sync_watch.c
+++ b/src/core/sync_watch.c
@@ -8,20 +8,25 @@
 #include "kernel/mem.h"
 
 #define CALL_TIMEOUT_MS 1500
+
+/* Range of the backoff after failed calls; a relay retries sooner, as other
+   hosts depend on it.  */
 #define RETRY_MIN_MS 200
 #define RETRY_RELAY_MAX_MS 1000
 #define RETRY_DIRECT_MAX_MS 10000
 
-/* In a large fleet, relays have others to serve and read less often.  */
+/* With more than LARGE_HOSTS hosts, relays read the terms less often, as they
+   also serve many others.  */
 #define LARGE_HOSTS 64
 #define LARGE_TERMS_WAIT_MS 700
 
-/* Items of a list that make the pause after it longer by 1 ms.  */
+/* Items of a list per 1 ms of the pause after it; pause_ms is the minimum.  */
 #define ITEMS_PER_PAUSE_MS 8
 
-/* Allowance of calls of one host.  */
+/* Token bucket that limits the calls of this host to the platform: burst and
+   interval of refill.  */
 #define TOKENS_MAX 16
-#define TOKEN_MS 125
+#define TOKEN_INTERVAL_MS 125
 
 enum loop_kind
 {
@@ -31,37 +36,37 @@
   LOOP_COUNT
 };
 
-struct loop_rule
+struct loop_settings
 {
   enum platform_call_kind call;
   const char *key;
   const char *purpose;
   clk_ms wait_ms[SYNC_RELAY + 1];
-  clk_ms pause_ms; /* between a call's start and the next one's */
+  clk_ms pause_ms; /* minimum, from the start of a call to the next start */
 };
 
-static const struct loop_rule rules[LOOP_COUNT] = {
-  [LOOP_HEAD]
-  = { .call = PLATFORM_GET,
-      .key = SYNC_HEAD_KEY,
-      .purpose = "watch_head",
-      .wait_ms
-      = { [SYNC_START] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 5000 },
-      .pause_ms = 50 },
+static const struct loop_settings settings[LOOP_COUNT] = {
+  [LOOP_HEAD] = { .call = PLATFORM_GET,
+                  .key = SYNC_HEAD_KEY,
+                  .purpose = "watch_head",
+                  .wait_ms = { [SYNC_BOOTSTRAP] = 1000,
+                               [SYNC_DIRECT] = 10000,
+                               [SYNC_RELAY] = 5000 },
+                  .pause_ms = 50 },
   [LOOP_TERMS]
   = { .call = PLATFORM_LIST,
       .key = TERMS_PREFIX,
       .purpose = "watch_terms",
       .wait_ms
-      = { [SYNC_START] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 400 },
+      = { [SYNC_BOOTSTRAP] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 400 },
       .pause_ms = 250 },
-  [LOOP_HOSTS]
-  = { .call = PLATFORM_HOSTS,
-      .key = NULL,
-      .purpose = "watch_hosts",
-      .wait_ms
-      = { [SYNC_START] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 5000 },
-      .pause_ms = 500 },
+  [LOOP_HOSTS] = { .call = PLATFORM_HOSTS,
+                   .key = NULL,
+                   .purpose = "watch_hosts",
+                   .wait_ms = { [SYNC_BOOTSTRAP] = 1000,
+                                [SYNC_DIRECT] = 10000,
+                                [SYNC_RELAY] = 5000 },
+                   .pause_ms = 500 },
 };
 
 struct watch_loop
@@ -69,15 +74,15 @@
   struct sync_watch *watch;
   enum loop_kind kind;
   uint64_t index;
-  uint64_t call; /* 0 if none runs */
+  uint64_t call; /* in flight; 0 if none */
   clk_ms sent_ms;
-  clk_ms failing_since_ms; /* CLK_NEVER while it works */
+  clk_ms failing_since_ms; /* CLK_NEVER if the last call succeeded */
   uint32_t failures;
-  size_t item_count; /* of the last answer */
+  size_t item_count; /* in the last reply */
   struct ktimer timer;
 };
 
-/* A read of one team, or of all if team is empty.  */
+/* A read of the configuration of one team, or of all if team is empty.  */
 struct team_read
 {
   struct sync_watch *watch;
@@ -85,8 +90,8 @@
   uint64_t call;
 };
 
-/* The reads that take the configuration to a new revision.  */
-struct round
+/* The reads that bring the configuration to a new revision.  */
+struct fetch
 {
   bool running;
   bool failed;
@@ -94,7 +99,7 @@
   uint64_t revision;
   size_t read_count;
   size_t outstanding;
-  struct team_read reads[SYNC_READS_MAX];
+  struct team_read reads[SYNC_HEAD_TEAMS_MAX];
 };
 
 struct sync_watch
@@ -102,11 +107,11 @@
   struct kernel *kernel;
   struct platform_port *port;
   struct sync_state *state;
-  void (*news) (void *);
+  void (*changed) (void *);
   void *arg;
   enum sync_mode mode;
   struct watch_loop loops[LOOP_COUNT];
-  struct round round;
+  struct fetch fetch;
   int64_t tokens;
   clk_ms tokens_ms;
 };
@@ -117,9 +122,9 @@
 take_token (struct sync_watch *watch)
 {
   clk_ms now_ms = kernel_now (watch->kernel);
-  int64_t earned = (now_ms - watch->tokens_ms) / TOKEN_MS;
+  int64_t earned = (now_ms - watch->tokens_ms) / TOKEN_INTERVAL_MS;
   watch->tokens += earned;
-  watch->tokens_ms += earned * TOKEN_MS;
+  watch->tokens_ms += earned * TOKEN_INTERVAL_MS;
   if (watch->tokens > TOKENS_MAX)
     watch->tokens = TOKENS_MAX;
   if (watch->tokens <= 0)
@@ -129,16 +134,17 @@
 }
 
 static bool
-is_wanted (const struct watch_loop *loop)
+loop_enabled (const struct watch_loop *loop)
 {
   enum sync_mode mode = loop->watch->mode;
-  return mode > SYNC_START || (mode == SYNC_START && loop->kind == LOOP_HOSTS);
+  return mode > SYNC_BOOTSTRAP
+         || (mode == SYNC_BOOTSTRAP && loop->kind == LOOP_HOSTS);
 }
 
 static void
 loop_schedule (struct watch_loop *loop, clk_ms due_ms)
 {
-  if (is_wanted (loop))
+  if (loop_enabled (loop))
     kernel_timer_set (loop->watch->kernel, &loop->timer, due_ms);
 }
 
@@ -159,12 +165,13 @@
                                                 (uint64_t)span_ms));
 }
 
-/* A long list is read less often: while many records change, coordinators
-   push them, and the list only catches up.  */
+/* Returns the pause between two calls.  A long list is read less often:
+   coordinators push the records that change, so that the list only has to
+   catch up with those that were missed.  */
 static clk_ms
-pause_of (const struct watch_loop *loop)
+loop_pause_ms (const struct watch_loop *loop)
 {
-  clk_ms pause_ms = rules[loop->kind].pause_ms;
+  clk_ms pause_ms = settings[loop->kind].pause_ms;
   clk_ms long_ms = (clk_ms)(loop->item_count / ITEMS_PER_PAUSE_MS);
   return long_ms > pause_ms ? long_ms : pause_ms;
 }
@@ -173,16 +180,16 @@
 loop_succeeded (struct watch_loop *loop)
 {
   struct sync_watch *watch = loop->watch;
-  clk_ms due_ms = loop->sent_ms + pause_of (loop);
+  clk_ms due_ms = loop->sent_ms + loop_pause_ms (loop);
   clk_ms now_ms = kernel_now (watch->kernel);
   loop->failures = 0;
   loop->failing_since_ms = CLK_NEVER;
   loop_schedule (loop, due_ms > now_ms ? due_ms : now_ms);
-  watch->news (watch->arg);
+  watch->changed (watch->arg);
 }
 
 static void
-take_terms (struct sync_watch *watch, const struct platform_reply *reply)
+apply_terms (struct sync_watch *watch, const struct platform_reply *reply)
 {
   size_t prefix = strlen (TERMS_PREFIX);
   for (size_t i = 0; i < reply->item_count; i++)
@@ -203,26 +210,26 @@
 }
 
 static void
-round_finish (struct sync_watch *watch)
+fetch_finish (struct sync_watch *watch)
 {
-  struct round *round = &watch->round;
+  struct fetch *fetch = &watch->fetch;
   struct watch_loop *loop = &watch->loops[LOOP_HEAD];
-  round->running = false;
-  if (round->failed)
+  fetch->running = false;
+  if (fetch->failed)
     {
       loop->index = 0;
       loop_failed (loop);
       return;
     }
-  sync_store_commit (&watch->state->store, round->revision, "platform");
+  sync_store_commit (&watch->state->store, fetch->revision, "platform");
   loop_succeeded (loop);
 }
 
 static void
-take_all_teams (struct sync_watch *watch, const struct platform_reply *reply)
+apply_all_teams (struct sync_watch *watch, const struct platform_reply *reply)
 {
   size_t prefix = strlen (SYNC_CONFIG_PREFIX);
-  uint64_t revision = watch->round.revision;
+  uint64_t revision = watch->fetch.revision;
   sync_store_begin_full (&watch->state->store);
   for (size_t i = 0; i < reply->item_count; i++)
     {
@@ -235,10 +242,10 @@
 }
 
 static void
-take_team (struct sync_watch *watch, const char *team,
-           const struct platform_reply *reply)
+apply_team (struct sync_watch *watch, const char *team,
+            const struct platform_reply *reply)
 {
-  uint64_t revision = watch->round.revision;
+  uint64_t revision = watch->fetch.revision;
   if (reply->status == PLATFORM_NOT_FOUND || reply->item_count == 0)
     sync_store_erase (&watch->state->store, team, revision);
   else
@@ -252,64 +259,66 @@
 {
   struct team_read *read = arg;
   struct sync_watch *watch = read->watch;
-  struct round *round = &watch->round;
+  struct fetch *fetch = &watch->fetch;
   bool ok
       = reply->status == PLATFORM_OK || reply->status == PLATFORM_NOT_FOUND;
   read->call = 0;
   if (!ok)
-    round->failed = true;
-  else if (round->full)
-    take_all_teams (watch, reply);
+    fetch->failed = true;
+  else if (fetch->full)
+    apply_all_teams (watch, reply);
   else
-    take_team (watch, read->team, reply);
-  if (--round->outstanding == 0)
-    round_finish (watch);
+    apply_team (watch, read->team, reply);
+  if (--fetch->outstanding == 0)
+    fetch_finish (watch);
 }
 
 static void
-round_read (struct sync_watch *watch, const char *team)
+fetch_read (struct sync_watch *watch, const char *team)
 {
-  struct round *round = &watch->round;
-  struct team_read *read = &round->reads[round->read_count++];
+  struct fetch *fetch = &watch->fetch;
+  struct team_read *read = &fetch->reads[fetch->read_count++];
   char *key = mem_printf (SYNC_CONFIG_PREFIX "%s", team);
   const struct platform_call call
-      = { .kind = round->full ? PLATFORM_LIST : PLATFORM_GET,
+      = { .kind = fetch->full ? PLATFORM_LIST : PLATFORM_GET,
           .purpose = "read_config",
           .key = key,
           .timeout_ms = CALL_TIMEOUT_MS };
   read->watch = watch;
   snprintf (read->team, sizeof read->team, "%s", team);
-  round->outstanding++;
+  fetch->outstanding++;
   read->call
       = watch->port->ops->call (watch->port, &call, team_read_done, read);
   free (key);
 }
 
-/* Starts the reads that HEAD asks for; false if nothing is new.  */
+/* Starts the reads that HEAD requires.  Returns false if there is no new
+   revision.  */
 static bool
-round_start (struct sync_watch *watch, const struct sync_head *head)
+fetch_start (struct sync_watch *watch, const struct sync_head *head)
 {
   struct sync_store *store = &watch->state->store;
-  struct round *round = &watch->round;
+  struct fetch *fetch = &watch->fetch;
   if (store->known && head->revision <= store->revision)
     return false;
-  memset (round, 0, sizeof *round);
-  round->running = true;
-  round->revision = head->revision;
-  round->full = !store->known || !head->complete;
-  if (round->full)
+  memset (fetch, 0, sizeof *fetch);
+  fetch->running = true;
+  fetch->revision = head->revision;
+  fetch->full = !store->known || !head->complete;
+  if (fetch->full)
     {
-      round_read (watch, "");
+      fetch_read (watch, "");
       return true;
     }
   for (size_t i = 0; i < head->team_count; i++)
-    round_read (watch, head->teams[i]);
+    fetch_read (watch, head->teams[i]);
   return true;
 }
 
-/* Returns whether reads have been started, after which the loop goes on.  */
+/* Returns whether reads have been started, at the end of which the loop
+   continues.  */
 static bool
-take_head (struct sync_watch *watch, const struct platform_reply *reply)
+apply_head (struct sync_watch *watch, const struct platform_reply *reply)
 {
   struct sync_head head = { 0 };
   struct log *log = kernel_log (watch->kernel);
@@ -326,7 +335,7 @@
     log_event (log, LOG_ERR, "config_head_lower",
                LOG_U ("revision", head.revision),
                LOG_U ("in_force", watch->state->store.revision));
-  return round_start (watch, &head);
+  return fetch_start (watch, &head);
 }
 
 static void
@@ -340,51 +349,52 @@
       loop_failed (loop);
       return;
     }
-  /* An index that went back belongs to a restored platform.  */
+  /* An index that decreases means that the platform was restored: the next
+     read does not wait.  */
   loop->item_count = reply->item_count;
   loop->index = reply->index < loop->index ? 0 : reply->index;
   if (loop->kind == LOOP_TERMS)
-    take_terms (watch, reply);
+    apply_terms (watch, reply);
   else if (loop->kind == LOOP_HOSTS)
     sync_hosts_set (&watch->state->hosts, reply->index, reply->hosts,
                     reply->host_count);
-  else if (take_head (watch, reply))
+  else if (apply_head (watch, reply))
     return;
   loop_succeeded (loop);
 }
 
 static clk_ms
-wait_of (const struct watch_loop *loop)
+loop_wait_ms (const struct watch_loop *loop)
 {
   const struct sync_watch *watch = loop->watch;
   bool large = members_count (watch->state->members) > LARGE_HOSTS;
-  /* The first read returns at once, so that its age is known.  */
+  /* The first read does not wait, so that the age of its result is known.  */
   if (loop->index == 0)
     return 0;
   if (large && loop->kind == LOOP_TERMS && watch->mode == SYNC_RELAY)
     return LARGE_TERMS_WAIT_MS;
-  return rules[loop->kind].wait_ms[watch->mode];
+  return settings[loop->kind].wait_ms[watch->mode];
 }
 
 static void
 loop_start (struct watch_loop *loop)
 {
   struct sync_watch *watch = loop->watch;
-  const struct loop_rule *rule = &rules[loop->kind];
-  if (!is_wanted (loop) || loop->call != 0
-      || (loop->kind == LOOP_HEAD && watch->round.running))
+  const struct loop_settings *setting = &settings[loop->kind];
+  if (!loop_enabled (loop) || loop->call != 0
+      || (loop->kind == LOOP_HEAD && watch->fetch.running))
     return;
   if (!take_token (watch))
     {
-      loop_schedule (loop, kernel_now (watch->kernel) + TOKEN_MS);
+      loop_schedule (loop, kernel_now (watch->kernel) + TOKEN_INTERVAL_MS);
       return;
     }
   const struct platform_call call = {
-    .kind = rule->call,
-    .purpose = rule->purpose,
-    .key = rule->key,
+    .kind = setting->call,
+    .purpose = setting->purpose,
+    .key = setting->key,
     .wait_index = loop->index,
-    .wait_ms = wait_of (loop),
+    .wait_ms = loop_wait_ms (loop),
     .timeout_ms = CALL_TIMEOUT_MS,
   };
   loop->sent_ms = kernel_now (watch->kernel);
@@ -399,14 +409,14 @@
 
 struct sync_watch *
 sync_watch_new (struct platform_port *port, struct sync_state *state,
-                void (*news) (void *), void *arg)
+                void (*changed) (void *), void *arg)
 {
   struct sync_watch *watch = mem_zalloc (sizeof *watch);
   struct kernel *kernel = state->kernel;
   watch->kernel = kernel;
   watch->port = port;
   watch->state = state;
-  watch->news = news;
+  watch->changed = changed;
   watch->arg = arg;
   watch->tokens = TOKENS_MAX;
   watch->tokens_ms = kernel_now (kernel);
@@ -433,14 +443,14 @@
 }
 
 static void
-round_stop (struct sync_watch *watch)
+fetch_cancel (struct sync_watch *watch)
 {
-  struct round *round = &watch->round;
-  for (size_t i = 0; i < round->read_count; i++)
-    if (round->reads[i].call != 0)
-      watch->port->ops->cancel (watch->port, round->reads[i].call);
-  round->running = false;
-  round->read_count = 0;
+  struct fetch *fetch = &watch->fetch;
+  for (size_t i = 0; i < fetch->read_count; i++)
+    if (fetch->reads[i].call != 0)
+      watch->port->ops->cancel (watch->port, fetch->reads[i].call);
+  fetch->running = false;
+  fetch->read_count = 0;
   watch->loops[LOOP_HEAD].index = 0;
 }
 
@@ -462,13 +472,13 @@
   for (size_t i = 0; i < LOOP_COUNT; i++)
     {
       struct watch_loop *loop = &watch->loops[i];
-      if (!is_wanted (loop))
+      if (!loop_enabled (loop))
         loop_stop (loop);
       else if (loop->call == 0 && loop->timer.slot == 0)
         loop_schedule (loop, kernel_now (watch->kernel));
     }
-  if (mode <= SYNC_START && watch->round.running)
-    round_stop (watch);
+  if (mode <= SYNC_BOOTSTRAP && watch->fetch.running)
+    fetch_cancel (watch);
 }
 
 enum sync_mode
--- a/src/core/sync_watch.h
+++ b/src/core/sync_watch.h
@@ -1,9 +1,9 @@
-/* sync_watch - reads configuration, terms and hosts from the platform.
+/* sync_watch - watches configuration, terms and hosts in the platform.
 
-   Three loops of blocking reads: the head of the configuration, the term
-   records and the list of hosts.  A relay waits a short time in each, so that
-   the age of its view stays low; a host that reaches no relay waits longer.
-   After a failed call a loop pauses for a random time that grows.  */
+   Runs three loops of blocking reads: the head of the configuration, the term
+   records and the list of hosts.  A relay uses short waits, so that the age of
+   its view stays low; a host that can reach no relay waits longer.  After a
+   failed call a loop backs off exponentially with jitter.  */
 
 #ifndef SAVORYWAY_CORE_SYNC_WATCH_H
 #define SAVORYWAY_CORE_SYNC_WATCH_H
@@ -13,26 +13,27 @@
 
 enum sync_mode
 {
-  SYNC_OFF,    /* no call to the platform */
-  SYNC_START,  /* only the list of hosts, to find whom to pull from */
-  SYNC_DIRECT, /* for this host alone */
-  SYNC_RELAY   /* for this host and those that pull from it */
+  SYNC_OFF,       /* no calls to the platform */
+  SYNC_BOOTSTRAP, /* only the list of hosts, to find hosts to pull from */
+  SYNC_DIRECT,    /* all loops, for this host alone */
+  SYNC_RELAY      /* all loops, for this host and those that pull from it */
 };
 
 struct sync_watch;
 
-/* Returns a watch that fills STATE, and calls NEWS (ARG) after each read.  */
+/* Returns a watch in mode SYNC_OFF.  It applies reads to STATE, and calls
+   CHANGED (ARG) after each successful one.  */
 struct sync_watch *sync_watch_new (struct platform_port *port,
                                    struct sync_state *state,
-                                   void (*news) (void *), void *arg);
+                                   void (*changed) (void *), void *arg);
 void sync_watch_free (struct sync_watch *watch);
 
-/* Starts or stops the loops.  */
+/* Starts and stops loops as MODE requires.  */
 void sync_watch_set_mode (struct sync_watch *watch, enum sync_mode mode);
 enum sync_mode sync_watch_mode (const struct sync_watch *watch);
 
-/* Returns for how long the term records could not be read, 0 if the last
-   read succeeded.  */
+/* Returns for how long reads of the term records have failed; 0 if the last
+   one succeeded.  */
 clk_ms sync_watch_failing_ms (const struct sync_watch *watch);
 
 #endif
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -6,21 +6,25 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Longest name of a host, failure domain, database, instance or kind.  */
+/* Buffer size of the name of a host, failure domain, database, instance or
+   kind, with its NUL.  */
 #define NAME_BYTES 64
+
+/* Buffer size of a network address, with its NUL.  */
 #define ADDRESS_BYTES 64
 
-/* Global name of an instance: "TEAM/SERVICE/DATABASE/INSTANCE".  */
+/* Buffer size of the global name of an instance,
+   "TEAM/SERVICE/DATABASE/INSTANCE".  */
 #define PATH_BYTES (4 * NAME_BYTES)
 
-/* Limit of a caller's request id, in bytes without the NUL.  */
+/* Maximum length of a caller's request id, without the NUL.  */
 #define REQUEST_ID_BYTES 64
 
-/* What a caller is told of a request.  */
+/* Result of a request, as reported to its caller.  */
 enum outcome
 {
-  OUTCOME_DONE,    /* ran once, the answer is complete */
-  OUTCOME_NOT_RUN, /* certainly did not run */
+  OUTCOME_DONE,    /* ran once; the result is complete */
+  OUTCOME_NOT_RUN, /* certainly did not run; safe to repeat */
   OUTCOME_UNKNOWN  /* may have run */
 };
 
@@ -28,41 +32,42 @@
 enum reason
 {
   REASON_NONE,
-  REASON_DEADLINE,        /* could not finish in time */
+  REASON_DEADLINE,        /* could not finish before the deadline */
   REASON_OVERLOAD,        /* a queue or budget is full */
   REASON_NO_PRIMARY,      /* no usable primary within the deadline */
-  REASON_NO_REPLICA,      /* no instance meets the freshness */
-  REASON_NO_MAJORITY,     /* the primary has no replica to confirm */
-  REASON_STALE_TERM,      /* the instance is not primary of this term */
-  REASON_DRAINING,        /* host or database is leaving */
+  REASON_NO_REPLICA,      /* no instance meets the required freshness */
+  REASON_NO_MAJORITY,     /* no replica of the primary confirms writes */
+  REASON_STALE_TERM,      /* the instance is not the primary of this term */
+  REASON_DRAINING,        /* host, database or instance is leaving */
   REASON_UNKNOWN_TARGET,  /* no such service, database or kind */
   REASON_FORBIDDEN,       /* credentials do not match */
   REASON_BAD_TOKEN,       /* session token malformed or forged */
-  REASON_TOKEN_AHEAD,     /* token holds work that a failover lost */
+  REASON_TOKEN_AHEAD,     /* token covers writes that a failover lost */
   REASON_SQL_ERROR,       /* the database rejected the statement */
-  REASON_CONNECTION_LOST, /* connection broke while the statement ran */
+  REASON_CONNECTION_LOST, /* connection lost while the statement ran */
   REASON_RESULT_TOO_LARGE,
   REASON_BAD_TRANSACTION, /* no such open transaction */
   REASON_UNREACHABLE,     /* no route to a gateway */
   REASON_COUNT
 };
 
-/* How fresh an answer must be.  */
+/* Required freshness of a read.  */
 enum freshness
 {
-  FRESHNESS_STRONG,  /* the primary of the current term */
-  FRESHNESS_SESSION, /* at least what the session has seen */
-  FRESHNESS_MAX_AGE  /* at most max_age_ms behind, and the session's own */
+  FRESHNESS_STRONG,  /* read from the primary of the current term */
+  FRESHNESS_SESSION, /* includes all that the session has seen */
+  FRESHNESS_MAX_AGE  /* as for a session, and at most max_age_ms stale */
 };
 
-/* When a write is acknowledged.  */
+/* Condition under which a write is acknowledged.  */
 enum ack_rule
 {
   ACK_MAJORITY, /* one replica of the same term has received it */
   ACK_PRIMARY   /* the primary's view of its term is recent */
 };
 
-/* A place in a database's history.  */
+/* A position in the write-ahead log of a database; ordered by term, then
+   lsn.  */
 struct position
 {
   uint64_t term;
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -48,7 +48,7 @@
 }
 
 static size_t
-a_relay (void)
+first_relay (void)
 {
   size_t i = 0;
   while (i < 4
@@ -69,7 +69,8 @@
     }
 }
 
-/* All hosts that live have the next revision after SPAN_MS.  */
+/* Writes the configuration REVISION and checks that all running hosts have it
+   after SPAN_MS.  */
 #define CHANGE(revision, slots, span_ms)                                      \
   do                                                                          \
     {                                                                         \
@@ -79,7 +80,7 @@
     }                                                                         \
   while (0)
 
-UNIT_TEST (test_all_hosts_are_ready_and_two_watch)
+UNIT_TEST (test_all_hosts_become_ready_and_two_are_relays)
 {
   start (one_domain, 1000);
   for (size_t i = 0; i < 5; i++)
@@ -91,13 +92,13 @@
   ck_assert_uint_eq (relay_count (), 2);
 }
 
-UNIT_TEST (test_a_change_reaches_all_at_once)
+UNIT_TEST (test_a_change_reaches_all_hosts_within_300_ms)
 {
   start (one_domain, 3000);
   CHANGE (2, 3, 300);
 }
 
-UNIT_TEST (test_the_age_of_the_view_stays_low_and_grows_in_an_outage)
+UNIT_TEST (test_view_age_is_bounded_and_grows_in_an_outage)
 {
   start (one_domain, 5000);
   for (int step = 0; step < 40; step++)
@@ -112,18 +113,18 @@
     ck_assert_int_ge (sync_view_age_ms (control.syncs[i]), 10000);
 }
 
-UNIT_TEST (test_a_lost_relay_is_replaced)
+UNIT_TEST (test_a_failed_relay_is_replaced)
 {
   start (one_domain, 3000);
-  sim_control_kill (&control, a_relay ());
+  sim_control_kill (&control, first_relay ());
   sim_run (&control.sim, 2000);
   CHANGE (2, 4, 300);
-  sim_control_kill (&control, a_relay ());
+  sim_control_kill (&control, first_relay ());
   sim_run (&control.sim, 2000);
   CHANGE (3, 5, 300);
 }
 
-UNIT_TEST (test_a_relay_cut_from_the_platform_follows_others)
+UNIT_TEST (test_relays_without_platform_pull_from_another_domain)
 {
   start (two_domains, 3000);
   for (size_t i = 0; i < 3; i++)
@@ -132,7 +133,7 @@
   CHANGE (2, 4, 2500);
 }
 
-UNIT_TEST (test_a_cut_off_host_never_goes_back)
+UNIT_TEST (test_an_isolated_host_does_not_revert_others)
 {
   start (one_domain, 3000);
   sim_control_isolate (&control, 2, true);
@@ -140,7 +141,8 @@
   sim_run (&control.sim, 5000);
   ck_assert_uint_eq (sync_revision (control.syncs[2]), 1);
   ck_assert_uint_eq (sync_revision (control.syncs[3]), 2);
-  /* The others know only the host that is behind, and ask it.  */
+  /* With the platform down, the others may pull from the host that is behind;
+     their revision must not decrease.  */
   control.platform.outage = true;
   sim_control_isolate (&control, 2, false);
   for (int step = 0; step < 50; step++)
@@ -153,7 +155,7 @@
   check_revision (2, 3);
 }
 
-UNIT_TEST (test_a_host_starts_from_its_peers_in_an_outage)
+UNIT_TEST (test_a_host_starts_from_its_seeds_in_an_outage)
 {
   start (one_domain, 3000);
   sim_control_kill (&control, 4);
@@ -164,7 +166,7 @@
   check_revision (1, 2);
 }
 
-UNIT_TEST (test_a_host_without_peers_asks_the_platform)
+UNIT_TEST (test_a_host_without_peers_reads_the_platform)
 {
   start (one_domain, 3000);
   for (size_t i = 0; i < 4; i++)
@@ -172,14 +174,14 @@
   CHANGE (2, 3, 8000);
 }
 
-UNIT_TEST (test_an_erased_team_is_gone_everywhere)
+UNIT_TEST (test_an_erased_team_is_removed_on_all_hosts)
 {
   start (one_domain, 0);
   sim_control_configure (&control, "u", TEAM_JSON (1), 2);
   sim_run (&control.sim, 3000);
   ck_assert_ptr_nonnull (view_database (control.views[3], "u/s/d"));
-  /* The sim has no erasure outside a call, so let a list do it: the head
-     names no change, all is read.  */
+  /* The simulated platform erases only by a write call.  The head then lists
+     no changes, so that the hosts read the full configuration.  */
   struct platform_write erase
       = { .key = SYNC_CONFIG_PREFIX "u", .erase = true };
   for (size_t i = 0; i < control.platform.key_count; i++)
@@ -200,7 +202,7 @@
   check_revision (9, 2);
 }
 
-UNIT_TEST (test_term_records_travel_by_push_and_by_watch)
+UNIT_TEST (test_term_records_spread_by_push_and_by_watch)
 {
   start (one_domain, 3000);
   struct term_record record = { .term = 2, .primary = "t/s/d/a" };
@@ -210,7 +212,8 @@
   sim_run (&control.sim, 500);
   for (size_t i = 0; i < 5; i++)
     ck_assert_ptr_nonnull (terms_get (control.terms[i], "t/s/d"));
-  /* While the platform is down, what one host learned still spreads.  */
+  /* While the platform is down, a record known to one host still reaches the
+     others by push.  */
   control.platform.outage = true;
   record.term = 3;
   terms_set (control.terms[3], "t/s/d", 5000, &record);
@@ -220,7 +223,7 @@
     ck_assert_uint_eq (terms_get (control.terms[i], "t/s/d")->term, 3);
 }
 
-UNIT_TEST (test_a_leaving_mark_overtakes_the_list)
+UNIT_TEST (test_a_leaving_mark_arrives_before_the_list_changes)
 {
   start (two_domains, 3000);
   members_leaving (control.members[1], "host-1", control.incarnations[1]);
@@ -255,7 +258,7 @@
   ck_assert_uint_eq (hosts[0] + hosts[1], 1);
 }
 
-UNIT_TEST (test_calls_to_the_platform_are_few_at_recovery)
+UNIT_TEST (test_platform_reads_are_bounded_at_recovery)
 {
   start (one_domain, 3000);
   control.platform.outage = true;
@@ -263,15 +266,17 @@
   control.platform.outage = false;
   uint64_t before = control.platform.reads;
   sim_run (&control.sim, 1000);
-  /* Two relays with three loops each, however many hosts there are.  */
+  /* Only the two relays read, with three loops each, whatever the number of
+     hosts.  */
   ck_assert_uint_le (control.platform.reads - before, 30);
 }
 
-UNIT_TEST (test_a_host_that_is_not_listed_is_not_trusted)
+UNIT_TEST (test_a_push_of_an_unlisted_host_is_ignored)
 {
   struct term_record record = { .term = 9, .primary = "t/s/d/a" };
   start (one_domain, 3000);
-  /* Another host has taken over the name and address of host 1.  */
+  /* A new incarnation, not in the list yet, has the name and address of
+     host 1.  */
   sim_control_kill (&control, 1);
   sim_control_start (&control, 1, true);
   sim_run (&control.sim, 2000);
@@ -286,7 +291,7 @@
   ck_assert_ptr_nonnull (terms_get (control.terms[0], "t/s/d"));
 }
 
-UNIT_PLAIN (test_the_store_never_goes_back)
+UNIT_PLAIN (test_the_store_ignores_lower_indexes_and_revisions)
 {
   static const char new_json[] = TEAM_JSON (5), old_json[] = TEAM_JSON (4);
   struct sync_store store = { .view = view_new () };
@@ -306,7 +311,7 @@
   sim_control_clear (&control);
 }
 
-UNIT_PLAIN (test_head_tells_what_to_read)
+UNIT_PLAIN (test_head_lists_teams_changed_since_a_revision)
 {
   static const char json[]
       = "{\"revision\":7,\"changes\":["
