--- a/src/core/sync.c
+++ b/src/core/sync.c
@@ -53,7 +53,7 @@
 
 static const char *const mode_names[] = {
   [SYNC_OFF] = "pull",
-  [SYNC_BOOTSTRAP] = "start",
+  [SYNC_DISCOVER] = "start",
   [SYNC_DIRECT] = "direct",
   [SYNC_RELAY] = "relay",
 };
@@ -82,7 +82,7 @@
   if (now_ms < sync->direct_after_ms)
     return SYNC_OFF;
   if (!sync->state.hosts.known)
-    return SYNC_BOOTSTRAP;
+    return SYNC_DISCOVER;
   if (sync->tree.relay)
     return SYNC_RELAY;
   bool isolated = sync_pull_exhausted (sync->pull)
--- a/src/core/sync_serve.c
+++ b/src/core/sync_serve.c
@@ -37,9 +37,9 @@
   uint64_t answered_seq; /* seq of the state at the last answer */
   uint64_t answered_terms_index;
   clk_ms answered_terms_ms;
-  clk_ms changes_ms; /* of the last answer with changes */
-  clk_ms arrived_ms; /* of the last pull */
-  uint64_t call;     /* held pull; 0 if none */
+  clk_ms changes_sent_ms; /* of the last answer with changes */
+  clk_ms arrived_ms;      /* of the last pull */
+  uint64_t call;          /* held pull; 0 if none */
   peer_pull pull;
   clk_ms wait_until_ms;
   struct ktimer timer;
@@ -88,7 +88,7 @@
      the time for which the pull was held is not part of it.  */
   update->view_age_ms -= now_ms - child->arrived_ms;
   if (has_changes (child))
-    child->changes_ms = now_ms;
+    child->changes_sent_ms = now_ms;
   child->answered_seq = state->seq;
   child->answered_terms_index = update->terms_index;
   child->answered_terms_ms = state->terms_ms;
@@ -107,8 +107,9 @@
   clk_ms due_ms = child->wait_until_ms;
   if (child->call == 0)
     return;
-  if (has_changes (child) && child->changes_ms + CHANGES_INTERVAL_MS < due_ms)
-    due_ms = child->changes_ms + CHANGES_INTERVAL_MS;
+  if (has_changes (child)
+      && child->changes_sent_ms + CHANGES_INTERVAL_MS < due_ms)
+    due_ms = child->changes_sent_ms + CHANGES_INTERVAL_MS;
   if (due_ms <= now_ms || needs_refresh (child))
     answer_pull (child);
   else
@@ -136,7 +137,7 @@
       child = mem_zalloc (sizeof *child);
       child->serve = serve;
       memcpy (child->host, from->host, length);
-      child->changes_ms = INT64_MIN / 2;
+      child->changes_sent_ms = INT64_MIN / 2;
       child->answered_terms_ms = INT64_MIN / 2;
       child->timer.fire = child_fire;
       child->timer.arg = child;
--- a/src/core/sync_store.c
+++ b/src/core/sync_store.c
@@ -47,7 +47,7 @@
     return;
   metrics_count (kernel_metrics (store->kernel), "config_rejected_total");
   for (size_t i = 0; i < findings.count; i++)
-    log_event (kernel_log (store->kernel), LOG_ERR, "config_finding",
+    log_event (kernel_log (store->kernel), LOG_ERR, "config_invalid",
                LOG_S ("team", team->name), LOG_U ("index", team->index),
                LOG_S ("path", findings.items[i].path),
                LOG_S ("text", findings.items[i].text));
--- a/src/core/sync_watch.c
+++ b/src/core/sync_watch.c
@@ -7,6 +7,7 @@
 #include "core/sync_head.h"
 #include "kernel/mem.h"
 
+/* Timeout of a call, beyond its wait.  */
 #define CALL_TIMEOUT_MS 1500
 
 /* Range of the backoff after failed calls; a relay retries sooner, as other
@@ -46,27 +47,27 @@
 };
 
 static const struct loop_settings settings[LOOP_COUNT] = {
-  [LOOP_HEAD] = { .call = PLATFORM_GET,
-                  .key = SYNC_HEAD_KEY,
-                  .purpose = "watch_head",
-                  .wait_ms = { [SYNC_BOOTSTRAP] = 1000,
-                               [SYNC_DIRECT] = 10000,
-                               [SYNC_RELAY] = 5000 },
-                  .pause_ms = 50 },
+  [LOOP_HEAD]
+  = { .call = PLATFORM_GET,
+      .key = SYNC_HEAD_KEY,
+      .purpose = "watch_head",
+      .wait_ms
+      = { [SYNC_DISCOVER] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 5000 },
+      .pause_ms = 50 },
   [LOOP_TERMS]
   = { .call = PLATFORM_LIST,
       .key = TERMS_PREFIX,
       .purpose = "watch_terms",
       .wait_ms
-      = { [SYNC_BOOTSTRAP] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 400 },
+      = { [SYNC_DISCOVER] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 400 },
       .pause_ms = 250 },
-  [LOOP_HOSTS] = { .call = PLATFORM_HOSTS,
-                   .key = NULL,
-                   .purpose = "watch_hosts",
-                   .wait_ms = { [SYNC_BOOTSTRAP] = 1000,
-                                [SYNC_DIRECT] = 10000,
-                                [SYNC_RELAY] = 5000 },
-                   .pause_ms = 500 },
+  [LOOP_HOSTS]
+  = { .call = PLATFORM_HOSTS,
+      .key = NULL,
+      .purpose = "watch_hosts",
+      .wait_ms
+      = { [SYNC_DISCOVER] = 1000, [SYNC_DIRECT] = 10000, [SYNC_RELAY] = 5000 },
+      .pause_ms = 500 },
 };
 
 struct watch_loop
@@ -137,8 +138,8 @@
 loop_enabled (const struct watch_loop *loop)
 {
   enum sync_mode mode = loop->watch->mode;
-  return mode > SYNC_BOOTSTRAP
-         || (mode == SYNC_BOOTSTRAP && loop->kind == LOOP_HOSTS);
+  return mode > SYNC_DISCOVER
+         || (mode == SYNC_DISCOVER && loop->kind == LOOP_HOSTS);
 }
 
 static void
@@ -477,7 +478,7 @@
       else if (loop->call == 0 && loop->timer.slot == 0)
         loop_schedule (loop, kernel_now (watch->kernel));
     }
-  if (mode <= SYNC_BOOTSTRAP && watch->fetch.running)
+  if (mode <= SYNC_DISCOVER && watch->fetch.running)
     fetch_cancel (watch);
 }
 
--- a/src/core/sync_watch.h
+++ b/src/core/sync_watch.h
@@ -13,10 +13,10 @@
 
 enum sync_mode
 {
-  SYNC_OFF,       /* no calls to the platform */
-  SYNC_BOOTSTRAP, /* only the list of hosts, to find hosts to pull from */
-  SYNC_DIRECT,    /* all loops, for this host alone */
-  SYNC_RELAY      /* all loops, for this host and those that pull from it */
+  SYNC_OFF,      /* no calls to the platform */
+  SYNC_DISCOVER, /* only the list of hosts, to find hosts to pull from */
+  SYNC_DIRECT,   /* all loops, for this host alone */
+  SYNC_RELAY     /* all loops, for this host and those that pull from it */
 };
 
 struct sync_watch;
