--- a/src/core/sync.h
+++ b/src/core/sync.h
@@ -42,7 +42,7 @@
 bool sync_is_relay (const struct sync *sync);
 
 /* The number of hosts on which a revision is in force.  */
-struct sync_share
+struct sync_revision_hosts
 {
   uint64_t revision;
   uint32_t hosts;
@@ -52,9 +52,10 @@
    with the result, once, within a few seconds.  SHARES are sorted by
    descending revision; listed hosts that did not answer count as
    revision 0.  */
-typedef void (*sync_status_done) (void *arg, const struct sync_share *shares,
-                                  size_t count);
-void sync_status (struct sync *sync, sync_status_done done, void *arg);
+typedef void (*sync_count_done) (void *arg,
+                                 const struct sync_revision_hosts *shares,
+                                 size_t count);
+void sync_count_revisions (struct sync *sync, sync_count_done done, void *arg);
 
 /* Pushes this host's term record of DATABASE to all relays, which would
    otherwise read it from the platform only later.  */
--- a/src/core/sync_census.c
+++ b/src/core/sync_census.c
@@ -17,11 +17,11 @@
   struct count *prev;
   struct count *next;
   uint64_t call;
-  sync_status_done done;
+  sync_count_done done;
   void *arg;
   size_t outstanding; /* queries in flight, plus 1 while they are sent */
   size_t entry_count;
-  struct sync_share *entries;
+  struct sync_revision_hosts *entries;
 };
 
 /* A query to one host.  If it fails and the host is a child, the host counts
@@ -60,7 +60,7 @@
   count->entries = mem_resize (count->entries, (count->entry_count + 1)
                                                    * sizeof *count->entries);
   count->entries[count->entry_count++]
-      = (struct sync_share){ .revision = revision, .hosts = hosts };
+      = (struct sync_revision_hosts){ .revision = revision, .hosts = hosts };
 }
 
 static struct count *
@@ -84,8 +84,8 @@
 static int
 by_revision_descending (const void *a, const void *b)
 {
-  uint64_t x = ((const struct sync_share *)a)->revision;
-  uint64_t y = ((const struct sync_share *)b)->revision;
+  uint64_t x = ((const struct sync_revision_hosts *)a)->revision;
+  uint64_t y = ((const struct sync_revision_hosts *)b)->revision;
   return x < y ? 1 : x > y ? -1 : 0;
 }
 
@@ -228,8 +228,7 @@
 }
 
 void
-sync_census_start (struct sync_census *census, sync_status_done done,
-                   void *arg)
+sync_census_start (struct sync_census *census, sync_count_done done, void *arg)
 {
   struct count *count = count_new (census);
   count->done = done;
@@ -250,7 +249,7 @@
   census->tree = tree;
   census->serve = serve;
   census->peers = peers;
-  peers_handle (peers, PEER_KIND_CENSUS, handle_query, census);
+  peers_register_handler (peers, PEER_KIND_CENSUS, handle_query, census);
   return census;
 }
 
--- a/src/core/sync_census.h
+++ b/src/core/sync_census.h
@@ -19,8 +19,8 @@
                                      struct peers *peers);
 void sync_census_free (struct sync_census *census);
 
-/* Starts a count; see sync_status.  */
-void sync_census_start (struct sync_census *census, sync_status_done done,
+/* Starts a count; see sync_count_revisions.  */
+void sync_census_start (struct sync_census *census, sync_count_done done,
                         void *arg);
 
 #endif
--- a/src/core/sync_hosts.h
+++ b/src/core/sync_hosts.h
@@ -44,10 +44,10 @@
 void sync_hosts_set (struct sync_hosts *hosts, uint64_t index,
                      const struct platform_host *list, size_t count);
 
-/* Applies a change or removal of one host at INDEX.  sync_hosts_end must
+/* Applies a change or removal of one host at INDEX.  sync_hosts_commit must
    follow the last change of that index; it passes the new list to members.  */
 void sync_hosts_change (struct sync_hosts *hosts, uint64_t index,
                         const struct platform_host *host, bool removed);
-void sync_hosts_end (struct sync_hosts *hosts, uint64_t index);
+void sync_hosts_commit (struct sync_hosts *hosts, uint64_t index);
 
 #endif
--- a/src/core/sync_state.h
+++ b/src/core/sync_state.h
@@ -50,8 +50,8 @@
 
 /* Records that all term records up to INDEX are known, as of AT_MS.  Neither
    value decreases.  */
-void sync_state_terms_at (struct sync_state *state, uint64_t index,
-                          clk_ms at_ms);
+void sync_state_set_terms_index (struct sync_state *state, uint64_t index,
+                                 clk_ms at_ms);
 
 /* Records that HOST of this incarnation has announced that it is leaving.
    Ignored if no such host is a member.  */
