--- a/src/core/sync.h
+++ b/src/core/sync.h
@@ -49,11 +49,11 @@
 };
 
 /* Counts the hosts by revision with queries along the tree, and calls DONE
-   with the result, once, within a few seconds.  SHARES are sorted by
+   with the result, once, within a few seconds.  REVISIONS are sorted by
    descending revision; listed hosts that did not answer count as
    revision 0.  */
 typedef void (*sync_count_done) (void *arg,
-                                 const struct sync_revision_hosts *shares,
+                                 const struct sync_revision_hosts *revisions,
                                  size_t count);
 void sync_count_revisions (struct sync *sync, sync_count_done done, void *arg);
 
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -233,26 +233,27 @@
 }
 
 static void
-keep_shares (void *arg, const struct sync_revision_hosts *shares, size_t count)
+add_hosts_by_revision (void *arg, const struct sync_revision_hosts *revisions,
+                       size_t count)
 {
   uint32_t *hosts = arg;
   for (size_t i = 0; i < count; i++)
-    if (shares[i].revision < 4)
-      hosts[shares[i].revision] += shares[i].hosts;
+    if (revisions[i].revision < 4)
+      hosts[revisions[i].revision] += revisions[i].hosts;
 }
 
 UNIT_TEST (test_the_census_counts_each_host_once)
 {
   uint32_t hosts[4] = { 0 };
   start (two_domains, 6000);
-  sync_count_revisions (control.syncs[2], keep_shares, hosts);
+  sync_count_revisions (control.syncs[2], add_hosts_by_revision, hosts);
   sim_run (&control.sim, 3000);
   ck_assert_uint_eq (hosts[1], 5);
   sim_control_isolate (&control, 2, true);
   sim_control_configure (&control, "t", TEAM_JSON (3), 2);
   sim_run (&control.sim, 6000);
   memset (hosts, 0, sizeof hosts);
-  sync_count_revisions (control.syncs[3], keep_shares, hosts);
+  sync_count_revisions (control.syncs[3], add_hosts_by_revision, hosts);
   sim_run (&control.sim, 3000);
   ck_assert_uint_eq (hosts[2], 4);
   ck_assert_uint_eq (hosts[0] + hosts[1], 1);
