--- a/src/core/confedit.c
+++ b/src/core/confedit.c
@@ -71,9 +71,10 @@
 {
   const char *id = request->change_id;
   if (!view_name_valid (job->request.team))
-    findings_add (&job->findings, "", "name of the team " NAME_MUST);
+    findings_add (&job->findings, "", "name of the team " NAME_REQUIREMENT);
   if (!view_name_valid (job->request.who))
-    findings_add (&job->findings, "", "name of the operator " NAME_MUST);
+    findings_add (&job->findings, "",
+                  "name of the operator " NAME_REQUIREMENT);
   if (id != NULL && (!view_name_valid (id) || strlen (id) >= CHANGE_ID_BYTES))
     findings_add (&job->findings, "",
                   "change id must be 1 to 32 characters of a-z, 0-9, '_' "
--- a/src/core/view.c
+++ b/src/core/view.c
@@ -7,6 +7,7 @@
 #include "core/view_team.h"
 #include "kernel/mem.h"
 
+/* Longer secrets are rejected without hashing them.  */
 #define SECRET_LIMIT_BYTES 1024
 
 struct view
@@ -188,7 +189,7 @@
 }
 
 static void
-sort (struct view *view)
+sort_indexes (struct view *view)
 {
   if (view->sorted)
     return;
@@ -200,14 +201,14 @@
 struct view_database *
 view_databases (struct view *view)
 {
-  sort (view);
+  sort_indexes (view);
   return view->databases;
 }
 
 struct view_service *
 view_services (struct view *view)
 {
-  sort (view);
+  sort_indexes (view);
   return view->services;
 }
 
--- a/src/core/view_check.c
+++ b/src/core/view_check.c
@@ -7,80 +7,85 @@
 #include "core/view_team.h"
 #include "kernel/mem.h"
 
-#define PLACE_BYTES (ADDRESS_BYTES + 16)
+#define ENDPOINT_KEY_BYTES (ADDRESS_BYTES + 16)
 
-/* Where an instance is reached; the key is address and port.  */
-struct place
+/* Address and port of an instance, as an entry of a hash table.  */
+struct endpoint
 {
-  char key[PLACE_BYTES];
+  char key[ENDPOINT_KEY_BYTES];
   const struct view_instance *instance;
   UT_hash_handle hh;
 };
 
 static void
-place_key (const struct view_instance *instance, char key[PLACE_BYTES])
+endpoint_key (const struct view_instance *instance,
+              char key[ENDPOINT_KEY_BYTES])
 {
-  snprintf (key, PLACE_BYTES, "%s port %u", instance->address, instance->port);
+  snprintf (key, ENDPOINT_KEY_BYTES, "%s port %u", instance->address,
+            instance->port);
 }
 
 static void
-collect_database (const struct view_database *database, struct place **places)
+collect_database (const struct view_database *database,
+                  struct endpoint **endpoints)
 {
-  struct place *head = *places;
+  struct endpoint *head = *endpoints;
   for (size_t i = 0; i < database->instance_count; i++)
     {
-      struct place *place = mem_zalloc (sizeof *place);
-      place->instance = &database->instances[i];
-      place_key (place->instance, place->key);
-      HASH_ADD_STR (head, key, place);
+      struct endpoint *endpoint = mem_zalloc (sizeof *endpoint);
+      endpoint->instance = &database->instances[i];
+      endpoint_key (endpoint->instance, endpoint->key);
+      HASH_ADD_STR (head, key, endpoint);
     }
-  *places = head;
+  *endpoints = head;
 }
 
-static struct place *
-collect_places (const struct view_team *team)
+static struct endpoint *
+collect_endpoints (const struct view_team *team)
 {
-  struct place *places = NULL;
+  struct endpoint *endpoints = NULL;
   for (size_t i = 0; i < team->service_count; i++)
     for (size_t k = 0; k < team->services[i].database_count; k++)
-      collect_database (team->services[i].databases[k], &places);
-  return places;
+      collect_database (team->services[i].databases[k], &endpoints);
+  return endpoints;
 }
 
 static void
-compare_places (struct place *places, const struct view_database *database,
-                struct findings *findings)
+find_shared_endpoints (struct endpoint *endpoints,
+                       const struct view_database *database,
+                       struct findings *findings)
 {
   for (size_t i = 0; i < database->instance_count; i++)
     {
-      char key[PLACE_BYTES], path[VIEW_PATH_BYTES];
-      struct place *place = NULL;
-      place_key (&database->instances[i], key);
-      HASH_FIND_STR (places, key, place);
-      if (place == NULL)
+      char key[ENDPOINT_KEY_BYTES], path[VIEW_PATH_BYTES];
+      struct endpoint *endpoint = NULL;
+      endpoint_key (&database->instances[i], key);
+      HASH_FIND_STR (endpoints, key, endpoint);
+      if (endpoint == NULL)
         continue;
-      view_instance_path (place->instance, path);
+      view_instance_path (endpoint->instance, path);
       findings_add (findings, path, "%s is that of %s too", key,
                     database->instances[i].name);
     }
 }
 
-/* Two teams that name one backend server would both count its connections as
-   their own.  */
+/* Adds a finding for each instance of TEAM whose address and port another
+   team uses.  Two teams that share a backend server would each plan with its
+   whole connection limit.  */
 static void
 check_other_teams (struct view *view, const struct view_team *team,
                    struct findings *findings)
 {
-  struct place *place, *next;
-  struct place *places = collect_places (team);
+  struct endpoint *endpoint, *next;
+  struct endpoint *endpoints = collect_endpoints (team);
   for (struct view_database *d = view_databases (view); d != NULL;
        d = d->hh.next)
     if (strcmp (d->service->team, team->name) != 0)
-      compare_places (places, d, findings);
-  HASH_ITER (hh, places, place, next)
+      find_shared_endpoints (endpoints, d, findings);
+  HASH_ITER (hh, endpoints, endpoint, next)
   {
-    HASH_DEL (places, place);
-    free (place);
+    HASH_DEL (endpoints, endpoint);
+    free (endpoint);
   }
 }
 
--- a/src/core/view_findings.c
+++ b/src/core/view_findings.c
@@ -35,7 +35,8 @@
   va_start (args, format);
   vsnprintf (text, sizeof text, format, args);
   va_end (args);
-  /* Texts may quote bytes of any kind, and are cut at any byte.  */
+  /* The text may quote arbitrary input, and truncation may split a multi-byte
+     character.  */
   for (char *c = text; *c != '\0'; c++)
     if (*c < ' ' || *c > '~')
       *c = '?';
--- a/src/core/view_read.c
+++ b/src/core/view_read.c
@@ -15,8 +15,8 @@
   return length > 0 && length < NAME_BYTES && text[length] == '\0';
 }
 
-/* Keys of any bytes and length may come in; the path stays short and
-   printable.  */
+/* A key of the input may have any bytes and any length.  The path must stay
+   short and printable, since findings report it.  */
 size_t
 reader_enter (struct reader *reader, const char *name)
 {
@@ -61,24 +61,24 @@
 }
 
 static void
-store_number (const struct field *field, void *place, int64_t value)
+store_number (const struct field *field, void *target, int64_t value)
 {
   switch (field->kind)
     {
     case FIELD_BOOL:
-      *(bool *)place = value != 0;
+      *(bool *)target = value != 0;
       break;
     case FIELD_U16:
-      *(uint16_t *)place = (uint16_t)value;
+      *(uint16_t *)target = (uint16_t)value;
       break;
     case FIELD_U32:
-      *(uint32_t *)place = (uint32_t)value;
+      *(uint32_t *)target = (uint32_t)value;
       break;
     case FIELD_MS:
-      *(clk_ms *)place = value;
+      *(clk_ms *)target = value;
       break;
     case FIELD_CHOICE:
-      *(unsigned *)place = (unsigned)value;
+      *(unsigned *)target = (unsigned)value;
       break;
     default:
       break;
@@ -87,7 +87,7 @@
 
 static void
 read_choice (struct reader *reader, const struct field *field, json_t *value,
-             void *place)
+             void *target)
 {
   char names[FAULT_TEXT_BYTES / 2] = "";
   const char *text = json_string_value (value);
@@ -95,7 +95,7 @@
     {
       if (text != NULL && strcmp (text, field->choices[i]) == 0)
         {
-          store_number (field, place, i);
+          store_number (field, target, i);
           return;
         }
       size_t used = strlen (names);
@@ -107,23 +107,23 @@
 
 static void
 read_text (struct reader *reader, const struct field *field, json_t *value,
-           void *place)
+           void *target)
 {
   const char *text = json_string_value (value);
   if (text == NULL || !field->check (text))
     {
-      reader_fault (reader, field->name, "%s", field->must);
+      reader_fault (reader, field->name, "%s", field->requirement);
       return;
     }
   if (field->kind == FIELD_STRING)
-    *(char **)place = mem_strdup (text);
+    *(char **)target = mem_strdup (text);
   else
-    snprintf (place, (size_t)field->max, "%s", text);
+    snprintf (target, (size_t)field->max, "%s", text);
 }
 
 static void
 read_field (struct reader *reader, const struct field *field, json_t *value,
-            void *place)
+            void *target)
 {
   switch (field->kind)
     {
@@ -131,21 +131,21 @@
       break;
     case FIELD_BOOL:
       if (json_is_boolean (value))
-        store_number (field, place, json_is_true (value));
+        store_number (field, target, json_is_true (value));
       else
         reader_fault (reader, field->name, "must be true or false");
       break;
     case FIELD_CHOICE:
-      read_choice (reader, field, value, place);
+      read_choice (reader, field, value, target);
       break;
     case FIELD_TEXT:
     case FIELD_STRING:
-      read_text (reader, field, value, place);
+      read_text (reader, field, value, target);
       break;
     default:
       if (json_is_integer (value) && json_integer_value (value) >= field->min
           && json_integer_value (value) <= field->max)
-        store_number (field, place, json_integer_value (value));
+        store_number (field, target, json_integer_value (value));
       else
         reader_fault (reader, field->name,
                       "must be an integer from %lld to %lld",
@@ -155,8 +155,8 @@
 }
 
 static void
-find_unknown (struct reader *reader, json_t *object,
-              const struct schema *schema)
+report_unknown (struct reader *reader, json_t *object,
+                const struct schema *schema)
 {
   const char *key;
   json_t *value;
@@ -182,17 +182,17 @@
   for (size_t i = 0; i < schema->count; i++)
     {
       const struct field *field = &schema->fields[i];
-      void *place = (char *)out + field->offset;
+      void *target = (char *)out + field->offset;
       json_t *value = json_object_get (object, field->name);
       if (value != NULL)
-        read_field (reader, field, value, place);
+        read_field (reader, field, value, target);
       else if (field->required)
         reader_fault (reader, field->name, "missing");
       else
-        store_number (field, place, field->initial);
+        store_number (field, target, field->initial);
     }
   if (reader->strict)
-    find_unknown (reader, object, schema);
+    report_unknown (reader, object, schema);
   return true;
 }
 
@@ -220,5 +220,5 @@
   if (view_name_valid (name))
     memcpy (out, name, strlen (name) + 1);
   else
-    reader_fault (reader, NULL, "name " NAME_MUST);
+    reader_fault (reader, NULL, "name " NAME_REQUIREMENT);
 }
--- a/src/core/view_schema.c
+++ b/src/core/view_schema.c
@@ -133,7 +133,7 @@
     .offset = INSTANCE (address),
     .max = ADDRESS_BYTES,
     .check = address_valid,
-    .must = "must be an IPv4 or IPv6 address" },
+    .requirement = "must be an IPv4 or IPv6 address" },
   { .name = "port",
     .kind = FIELD_U16,
     .required = true,
@@ -146,7 +146,7 @@
     .offset = INSTANCE (domain),
     .max = NAME_BYTES,
     .check = view_name_valid,
-    .must = NAME_MUST },
+    .requirement = NAME_REQUIREMENT },
   { .name = "leaving", .kind = FIELD_BOOL, .offset = INSTANCE (leaving) },
 };
 
@@ -156,7 +156,7 @@
     .required = true,
     .offset = offsetof (struct view_caller, secret_hash),
     .check = view_secret_hash_valid,
-    .must = "must be 32 hexadecimal digits, a colon and 64 more" },
+    .requirement = "must be 32 hexadecimal digits, a colon and 64 more" },
 };
 
 static const struct field service_fields[] = {
--- a/src/core/view_schema.h
+++ b/src/core/view_schema.h
@@ -1,5 +1,5 @@
-/* view_schema - the settings of each object in a team's subtree, with their
-   ranges and defaults.  Private to the view.  */
+/* view_schema - field tables of the objects in a team's subtree: settings,
+   ranges and defaults.  Private to view*.c.  */
 
 #ifndef SAVORYWAY_CORE_VIEW_SCHEMA_H
 #define SAVORYWAY_CORE_VIEW_SCHEMA_H
@@ -13,8 +13,7 @@
 extern const struct schema schema_service;
 extern const struct schema schema_team;
 
-/* What holds for a kind that is not declared, and for settings that are
-   absent in one that is.  */
+/* Settings of an undeclared kind, and the defaults of a declared one.  */
 extern const struct view_kind schema_strictest_kind;
 
 #endif
--- a/src/core/view_team.c
+++ b/src/core/view_team.c
@@ -12,11 +12,11 @@
 #define KINDS_LIMIT 200
 #define CALLERS_LIMIT 1000
 
-/* A write is acknowledged once one replica has it.  Together with the
-   primary that is a majority of at most three instances.  */
+/* A write is acknowledged once one replica has received it.  That replica and
+   the primary are a majority only of three instances or fewer.  */
 #define INSTANCES_LIMIT 3
 
-/* All element types start with their name.  */
+/* Works for each element type whose first member is its name.  */
 static int
 by_name (const void *a, const void *b)
 {
@@ -215,7 +215,8 @@
   reader_leave (reader, mark);
 }
 
-/* Databases point to their service, so this ends with the last move.  */
+/* Sorting moves the services, so the databases' pointers to them are set
+   again.  */
 static void
 sort_services (struct view_team *team)
 {
@@ -228,7 +229,7 @@
 }
 
 static int
-by_place (const void *a, const void *b)
+by_endpoint (const void *a, const void *b)
 {
   const struct view_instance *left = *(const struct view_instance *const *)a;
   const struct view_instance *right = *(const struct view_instance *const *)b;
@@ -267,14 +268,15 @@
             name);
 }
 
-/* Two instances at one address would be counted as two of a majority.  */
+/* Two instances with the same address and port are one server, which would
+   be counted twice in a majority.  */
 static void
 check_addresses (struct reader *reader, const struct view_team *team)
 {
   size_t count = collect_instances (team, NULL);
   const struct view_instance **all = mem_zalloc ((count + 1) * sizeof *all);
   collect_instances (team, all);
-  qsort (all, count, sizeof *all, by_place);
+  qsort (all, count, sizeof *all, by_endpoint);
   for (size_t i = 1; i < count; i++)
     {
       const struct view_instance *a = all[i - 1];
@@ -309,7 +311,7 @@
 {
   if (!view_name_valid (name))
     {
-      findings_add (findings, "", "name of the team " NAME_MUST);
+      findings_add (findings, "", "name of the team " NAME_REQUIREMENT);
       return NULL;
     }
   json_error_t error;
--- a/src/core/view_team.h
+++ b/src/core/view_team.h
@@ -1,4 +1,4 @@
-/* view_team - the subtree of one team, parsed.  Private to the view.  */
+/* view_team - parsed subtree of one team.  Private to view*.c.  */
 
 #ifndef SAVORYWAY_CORE_VIEW_TEAM_H
 #define SAVORYWAY_CORE_VIEW_TEAM_H
@@ -15,8 +15,9 @@
   UT_hash_handle hh;
 };
 
-/* Returns the team NAME parsed from JSON, or NULL with all faults added to
-   FINDINGS.  Settings that are not known are faults if STRICT.  */
+/* Parses JSON, LENGTH bytes, as the subtree of the team NAME.  Returns NULL
+   if it is invalid, with all errors added to FINDINGS.  Unknown settings are
+   errors if STRICT.  The result is freed with view_team_free.  */
 struct view_team *view_team_parse (const char *name, const char *json,
                                    size_t length, bool strict,
                                    struct findings *findings);
@@ -24,7 +25,8 @@
 
 #define VIEW_PATH_BYTES 320
 
-/* Writes the path in its team's subtree of INSTANCE's address to OUT.  */
+/* Writes the path of INSTANCE's address, relative to its team's subtree, to
+   OUT.  */
 void view_instance_path (const struct view_instance *instance,
                          char out[VIEW_PATH_BYTES]);
 
--- a/src/core/viewmod.h
+++ b/src/core/viewmod.h
@@ -1,4 +1,4 @@
-/* viewmod - makes the node's view known to its modules.
+/* viewmod - kernel module that gives the other modules access to the view.
 
    Module name: "view".  */
 
@@ -8,10 +8,10 @@
 #include "core/view.h"
 #include "kernel/kernel.h"
 
-/* Returns a module that owns VIEW.  */
+/* Returns a module that owns VIEW and frees it.  */
 struct module *viewmod_new (struct view *view);
 
-/* Returns the view of this kernel's node.  */
+/* Returns the view registered with KERNEL.  */
 struct view *viewmod_get (struct kernel *kernel);
 
 #endif
