--- a/src/core/confedit.c
+++ b/src/core/confedit.c
@@ -8,6 +8,7 @@
 #include "core/view_read.h"
 #include "kernel/mem.h"
 
+/* Limit on the changes and reads in flight.  */
 #define JOBS_LIMIT 64
 
 const char *
@@ -36,7 +37,7 @@
 }
 
 static void
-refuse (void *arg)
+reject (void *arg)
 {
   struct confedit_job *job = arg;
   if (job->findings.count > 0)
@@ -93,14 +94,14 @@
   check_request (job, request);
   job->team_key = mem_printf ("%s%s", SYNC_CONFIG_PREFIX, job->request.team);
   job->timer.arg = job;
-  job->timer.fire = confedit_job_begin;
+  job->timer.fire = confedit_job_start_round;
   if (job->findings.count > 0 || confedit->job_count > JOBS_LIMIT)
     {
-      job->timer.fire = refuse;
+      job->timer.fire = reject;
       kernel_timer_set (kernel, &job->timer, kernel_now (kernel));
     }
   else
-    confedit_job_begin (job);
+    confedit_job_start_round (job);
 }
 
 static void
@@ -123,10 +124,10 @@
 }
 
 static void
-refuse_read (void *arg)
+reject_read (void *arg)
 {
   struct confedit_job *job = arg;
-  job->read_done (job->arg, job->refusal, 0, NULL);
+  job->read_done (job->arg, job->reject_status, 0, NULL);
   confedit_job_free (job);
 }
 
@@ -140,8 +141,8 @@
   bool valid = team == NULL || view_name_valid (team);
   if (!valid || confedit->job_count > JOBS_LIMIT)
     {
-      job->refusal = valid ? PLATFORM_UNAVAILABLE : PLATFORM_NOT_FOUND;
-      job->timer = (struct ktimer){ .fire = refuse_read, .arg = job };
+      job->reject_status = valid ? PLATFORM_UNAVAILABLE : PLATFORM_NOT_FOUND;
+      job->timer = (struct ktimer){ .fire = reject_read, .arg = job };
       kernel_timer_set (kernel, &job->timer, kernel_now (kernel));
       return;
     }
--- a/src/core/confedit_change.c
+++ b/src/core/confedit_change.c
@@ -14,8 +14,8 @@
   *subtree = (struct subtree){ 0 };
 }
 
-/* A subtree that does not pass the schema can be mended by the
-   administrator only.  */
+/* Operators are listed in the subtree itself, so only the administrator can
+   repair a subtree that does not match the schema.  */
 static bool
 operator_allowed (const char *team, const struct subtree *current,
                   const char *who, const char *secret)
@@ -44,8 +44,8 @@
 }
 
 static bool
-check (const struct subtree *proposed, const char *team, struct view *view,
-       struct findings *findings)
+check_proposed (const struct subtree *proposed, const char *team,
+                struct view *view, struct findings *findings)
 {
   if (proposed->bytes > (size_t)(PLATFORM_VALUE_LIMIT_BYTES))
     {
@@ -109,7 +109,7 @@
   if (proposed->value != NULL)
     proposed->bytes = strlen (proposed->value);
   if (proposed->value != NULL
-      && check (proposed, request->team, view, findings))
+      && check_proposed (proposed, request->team, view, findings))
     return true;
   subtree_clear (proposed);
   return false;
--- a/src/core/confedit_change.h
+++ b/src/core/confedit_change.h
@@ -1,30 +1,33 @@
-/* confedit_change - what a change makes of a team's subtree, and who may
-   make it.  Private to confedit*.c.  */
+/* confedit_change - authorization of a change, and its effect on a team's
+   subtree.  Private to confedit*.c.  */
 
 #ifndef SAVORYWAY_CORE_CONFEDIT_CHANGE_H
 #define SAVORYWAY_CORE_CONFEDIT_CHANGE_H
 
 #include "core/confedit.h"
 
-/* A team's subtree as it stands in the platform.  */
+/* A team's subtree, as stored in the platform or as proposed.  */
 struct subtree
 {
-  json_t *tree; /* NULL if there is none */
-  char *value;  /* as text; NULL likewise */
+  json_t *tree; /* NULL if the team does not exist or value is not JSON */
+  char *value;  /* JSON text; NULL if the team does not exist */
   size_t bytes;
-  uint64_t index;
+  uint64_t index; /* modification index; 0 if the team does not exist */
 };
 
 void subtree_clear (struct subtree *subtree);
 
-/* Whether WHO with SECRET may change TEAM, whose subtree is CURRENT.  */
+/* Returns whether the operator WHO with SECRET may change TEAM, whose subtree
+   is CURRENT.  ADMIN_HASH is the secret_hash of the administrator, who may
+   change any team, or NULL.  */
 bool confedit_allowed (const char *admin_hash, const char *team,
                        const struct subtree *current, const char *who,
                        const char *secret);
 
-/* Fills PROPOSED with what REQUEST makes of CURRENT, checked against the
-   schema and the limit of the platform.  A NULL tree in it means that the
-   team is to be removed.  Returns false with findings.  */
+/* Sets PROPOSED to CURRENT with REQUEST applied, validated against the schema,
+   the other teams in VIEW and the platform's limit on a value.  A NULL tree
+   means that the team is to be removed.  Returns false, with FINDINGS, if the
+   result is invalid.  */
 bool confedit_edit (struct subtree *proposed,
                     const struct confedit_request *request,
                     const struct subtree *current, struct view *view,
--- a/src/core/confedit_job.c
+++ b/src/core/confedit_job.c
@@ -7,10 +7,13 @@
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
+/* Limit on the rounds of one change.  */
 #define ROUNDS_LIMIT 12
 #define WRITE_TIMEOUT_MS 2000
-#define RETRY_FIRST_MS 20
-#define RETRY_MAX_MS 1000
+
+/* Exponential backoff with full jitter between rounds.  */
+#define BACKOFF_BASE_MS 20
+#define BACKOFF_MAX_MS 1000
 
 void
 confedit_job_free (struct confedit_job *job)
@@ -78,11 +81,12 @@
           &(struct confedit_result){ .status = status, .message = message });
 }
 
-/* Ends a change that could not be made for other reasons than its own.  */
+/* Ends a change that failed for reasons other than its content.  Its
+   outcome is unknown while a write is unresolved.  */
 static void
-give_up (struct confedit_job *job, const char *message)
+abort_change (struct confedit_job *job, const char *message)
 {
-  if (job->lost)
+  if (job->write_unresolved)
     confedit_job_fail (job, CONFEDIT_UNKNOWN, message);
   else
     confedit_job_fail (job, CONFEDIT_UNAVAILABLE, message);
@@ -94,15 +98,15 @@
   struct kernel *kernel = job->confedit->base.kernel;
   if (++job->rounds >= ROUNDS_LIMIT)
     {
-      give_up (job, message);
+      abort_change (job, message);
       return;
     }
   char *name = mem_printf ("config_retries_total{why=\"%s\"}", why);
   metrics_count (kernel_metrics (kernel), name);
   free (name);
-  uint64_t limit_ms = (uint64_t)RETRY_FIRST_MS << job->rounds;
-  if (limit_ms > RETRY_MAX_MS)
-    limit_ms = RETRY_MAX_MS;
+  uint64_t limit_ms = (uint64_t)BACKOFF_BASE_MS << job->rounds;
+  if (limit_ms > BACKOFF_MAX_MS)
+    limit_ms = BACKOFF_MAX_MS;
   clk_ms delay_ms = 1 + (clk_ms)rng_below (kernel_rng (kernel), limit_ms);
   kernel_timer_set (kernel, &job->timer, kernel_now (kernel) + delay_ms);
 }
@@ -141,12 +145,12 @@
       succeed (job, confhead_revision (job->head) + 1, reply->index);
       break;
     case PLATFORM_LOST:
-      job->lost = true;
-      job->lost_head_index = job->head_index;
+      job->write_unresolved = true;
+      job->unresolved_head_index = job->head_index;
       retry (job, "lost", "the platform did not answer");
       break;
     case PLATFORM_REJECTED:
-      give_up (job, "the platform rejected the write");
+      abort_change (job, "the platform rejected the write");
       break;
     case PLATFORM_CONFLICT:
       if (MUTANT (accept_conflict))
@@ -196,8 +200,8 @@
   free (head);
 }
 
-/* Works out what to write from the first state read.  Returns false if the
-   job has ended.  */
+/* Authorizes and edits, in the first round.  Returns false if the job has
+   ended.  */
 static bool
 prepare (struct confedit_job *job)
 {
@@ -238,21 +242,22 @@
   return true;
 }
 
-/* Compares what was read with what the change is based on.  Returns false
-   if the job has ended.  */
+/* Compares the team as read in this round with the one that the change is
+   based on.  Returns false if the job has ended.  */
 static bool
-still_based (struct confedit_job *job)
+check_base (struct confedit_job *job)
 {
-  bool moved = job->team.index != job->base.index;
-  if (job->lost && moved && !confhead_covers (job->head, job->base_revision))
+  bool changed = job->team.index != job->base.index;
+  if (job->write_unresolved && changed
+      && !confhead_covers (job->head, job->base_revision))
     {
       confedit_job_fail (job, CONFEDIT_UNKNOWN,
                          "the history has no trace of that time");
       return false;
     }
-  if (job->head_index != job->lost_head_index)
-    job->lost = false;
-  if (!moved)
+  if (job->head_index != job->unresolved_head_index)
+    job->write_unresolved = false;
+  if (!changed)
     return true;
   conflict (job, job->base.tree, job->team.tree,
             "someone else changed the team at the same time");
@@ -268,7 +273,7 @@
       succeed (job, revision, job->team.index);
       return;
     }
-  if (job->edited ? still_based (job) : prepare (job))
+  if (job->edited ? check_base (job) : prepare (job))
     write_change (job);
 }
 
@@ -289,7 +294,7 @@
                               item ? item->value_bytes : 0);
   job->head_index = item ? item->index : 0;
   if (job->head == NULL)
-    give_up (job, SYNC_HEAD_KEY " is malformed");
+    abort_change (job, SYNC_HEAD_KEY " is malformed");
   else
     evaluate (job);
 }
@@ -306,8 +311,8 @@
   job->call = platform->ops->call (platform, &call, done, job);
 }
 
-/* The team is read before the head: if a write of this job came between, the
-   head shows it.  */
+/* The team is read before the head, so that the head shows the change id if a
+   write of this job took effect between the two reads.  */
 static void
 on_team (void *arg, const struct platform_reply *reply)
 {
@@ -331,7 +336,7 @@
 }
 
 void
-confedit_job_begin (void *arg)
+confedit_job_start_round (void *arg)
 {
   struct confedit_job *job = arg;
   confedit_job_read (job, job->team_key, on_team);
--- a/src/core/confhead.h
+++ b/src/core/confhead.h
@@ -1,9 +1,14 @@
-/* confhead - the head of the configuration: its revision and the latest
-   changes, kept as JSON under one key of the platform.
+/* confhead - head of the configuration: its revision and the latest changes,
+   stored as JSON under one key of the platform.
 
-   Each change adds one entry and raises the revision by one, so a change id
-   that is found tells that the change was made, and one that is not found
-   among entries that cover the time in question tells that it was not.  */
+     {"revision": 2, "changes": [{"revision": 2, "team": "dagohoy",
+         "change_id": "...", "who": "ann", "path": "services/s",
+         "when_s": 1700000000}]}
+
+   Each change adds one entry and increments the revision.  A listed change
+   id therefore proves that the change was applied.  A missing one proves
+   that it was not, provided that the entries cover all revisions since the
+   change was submitted (see confhead_covers).  */
 
 #ifndef SAVORYWAY_CORE_CONFHEAD_H
 #define SAVORYWAY_CORE_CONFHEAD_H
@@ -15,33 +20,37 @@
 
 #include "core/sync_head.h"
 
-/* Changes kept, newest last.  */
+/* Number of changes kept, the latest last.  */
 #define CONFHEAD_CHANGES 64
 
+/* An entry of the history.  */
 struct confhead_change
 {
   const char *team;
   const char *change_id;
-  const char *who;
-  const char *path; /* what was changed below the team; "" for all */
+  const char *who;  /* name of the operator */
+  const char *path; /* changed path below the team; "" for the whole team */
   int64_t when_s;   /* seconds since 1970 UTC */
 };
 
-/* Returns the head in VALUE, or the first one if VALUE is NULL; NULL if it
-   is malformed.  To be released.  */
+/* Parses VALUE, LENGTH bytes.  If VALUE is NULL, returns an empty head of
+   revision 0.  Returns NULL if VALUE is malformed.  The caller releases the
+   result with json_decref.  */
 json_t *confhead_parse (const char *value, size_t length);
 
 uint64_t confhead_revision (const json_t *head);
 
-/* Whether CHANGE_ID is listed; *REVISION is that of the change.  */
+/* Returns whether CHANGE_ID is listed, and sets *REVISION to the revision of
+   that change.  */
 bool confhead_find (const json_t *head, const char *change_id,
                     uint64_t *revision);
 
-/* Whether all changes after REVISION are listed.  */
+/* Returns whether all changes after REVISION are listed.  */
 bool confhead_covers (const json_t *head, uint64_t revision);
 
-/* Returns the value of HEAD with CHANGE added; the caller frees it.  HEAD is
-   not changed.  */
+/* Returns the JSON text of HEAD with CHANGE appended and the oldest changes
+   beyond CONFHEAD_CHANGES dropped; the caller frees it.  HEAD is not
+   modified.  */
 char *confhead_print_with (const json_t *head,
                            const struct confhead_change *change);
 
--- a/src/core/conftree.c
+++ b/src/core/conftree.c
@@ -6,12 +6,13 @@
 
 #include "kernel/mem.h"
 
+/* Limit on the names of a path.  */
 #define DEPTH_LIMIT 16
 
-/* Splits PATH, which is changed, into at most DEPTH_LIMIT names.  Returns
-   their number, or -1 if a name is empty or there are too many.  */
+/* Splits PATH in place into at most DEPTH_LIMIT names.  Returns their number,
+   or -1 if a name is empty or there are too many.  */
 static int
-split (char *path, char *names[DEPTH_LIMIT])
+split_path (char *path, char *names[DEPTH_LIMIT])
 {
   int count = 0;
   while (path != NULL && *path != '\0')
@@ -25,23 +26,23 @@
   return count;
 }
 
-/* Returns the object that holds the last of NAMES, made if MAKE; NULL if
-   there is none.  */
+/* Returns the object that contains the last of NAMES, or NULL.  Missing
+   objects along the path are created if CREATE.  */
 static json_t *
-parent_of (json_t *root, char *names[], int count, bool make)
+find_parent (json_t *root, char *names[], int count, bool create)
 {
-  json_t *at = root;
+  json_t *node = root;
   for (int i = 0; i + 1 < count; i++)
     {
-      json_t *next = json_object_get (at, names[i]);
-      if (next == NULL && make && json_is_object (at))
+      json_t *next = json_object_get (node, names[i]);
+      if (next == NULL && create && json_is_object (node))
         {
           next = json_object ();
-          json_object_set_new (at, names[i], next);
+          json_object_set_new (node, names[i], next);
         }
-      at = next;
+      node = next;
     }
-  return json_is_object (at) ? at : NULL;
+  return json_is_object (node) ? node : NULL;
 }
 
 json_t *
@@ -52,9 +53,9 @@
   char *copy = mem_strdup (path);
   json_t *tree = json_deep_copy (root);
   json_t *parent = NULL;
-  int count = split (copy, names);
+  int count = split_path (copy, names);
   if (count > 0)
-    parent = parent_of (tree, names, count, true);
+    parent = find_parent (tree, names, count, true);
   if (count == 0)
     {
       json_decref (tree);
@@ -79,8 +80,8 @@
   char *names[DEPTH_LIMIT];
   char *copy = mem_strdup (path);
   json_t *tree = json_deep_copy (root);
-  int count = split (copy, names);
-  json_t *parent = count > 0 ? parent_of (tree, names, count, false) : NULL;
+  int count = split_path (copy, names);
+  json_t *parent = count > 0 ? find_parent (tree, names, count, false) : NULL;
   if (parent == NULL || json_object_del (parent, names[count - 1]) != 0)
     {
       findings_add (findings, path, "nothing is there");
@@ -96,12 +97,12 @@
 {
   char *names[DEPTH_LIMIT];
   char *copy = mem_strdup (path);
-  int count = split (copy, names);
+  int count = split_path (copy, names);
   json_t *found = NULL;
   if (count == 0)
     found = root;
   else if (count > 0)
-    found = json_object_get (parent_of (root, names, count, false),
+    found = json_object_get (find_parent (root, names, count, false),
                              names[count - 1]);
   free (copy);
   return found;
@@ -132,14 +133,14 @@
 }
 
 static void
-collect_names (const json_t *object, const json_t *unless, const char **names,
-               size_t *count)
+collect_names (const json_t *object, const json_t *excluded,
+               const char **names, size_t *count)
 {
   const char *name;
   json_t *value;
   json_object_foreach ((json_t *)object, name, value)
   {
-    if (json_object_get (unless, name) == NULL)
+    if (json_object_get (excluded, name) == NULL)
       names[(*count)++] = name;
   }
 }
@@ -163,10 +164,11 @@
     qsort (names, count, sizeof *names, by_text);
   for (size_t i = 0; i < count; i++)
     {
-      char *below = mem_printf ("%s%s%s", path, *path ? "/" : "", names[i]);
-      compare (list, below, json_object_get (from, names[i]),
+      char *child_path
+          = mem_printf ("%s%s%s", path, *path ? "/" : "", names[i]);
+      compare (list, child_path, json_object_get (from, names[i]),
                json_object_get (to, names[i]));
-      free (below);
+      free (child_path);
     }
   free (names);
 }
--- a/tests/unit/test_confedit.c
+++ b/tests/unit/test_confedit.c
@@ -7,17 +7,19 @@
 
 #define CALLS 64
 #define LATE_MS 300
+
+/* Longer than all retries of one change take.  */
 #define VERY_LATE_MS 60000
 #define TEAM_KEY "savoryway/config/dagohoy"
 
-/* What the next calls meet.  */
+/* Faults of the next calls to the platform.  */
 static struct
 {
-  enum sim_fault faults[CALLS]; /* of the next writes, in order */
+  enum sim_fault faults[CALLS]; /* for the next writes, in order */
   size_t fault_count;
   size_t fault_next;
-  uint32_t fault_odds; /* of 100, each call a random fault */
-  void (*before_write) (void);
+  uint32_t fault_percent;      /* share of calls with a random fault */
+  void (*before_write) (void); /* called before each write */
 } plan;
 
 static struct sim sim;
@@ -32,7 +34,7 @@
 {
   if (is_write && plan.before_write != NULL)
     plan.before_write ();
-  if (rng_below (&rng, 100) < plan.fault_odds)
+  if (rng_below (&rng, 100) < plan.fault_percent)
     return is_write ? rng_below (&rng, SIM_FAULT_COUNT) : SIM_FAULT_REFUSED;
   if (is_write && plan.fault_next < plan.fault_count)
     return plan.faults[plan.fault_next++];
@@ -73,7 +75,7 @@
   sim_clear (&sim);
 }
 
-/* Copy of the last result.  */
+/* The last result, and the number of results so far.  */
 static struct
 {
   int results;
@@ -118,7 +120,7 @@
 }
 
 static enum confedit_status
-ask (const struct confedit_request *request)
+submit_and_run (const struct confedit_request *request)
 {
   int before = got.results;
   submit (request, NULL);
@@ -143,10 +145,10 @@
 set (const char *path, const char *json)
 {
   const struct confedit_request request = set_request (path, json);
-  return ask (&request);
+  return submit_and_run (&request);
 }
 
-/* The administrator makes the team, with ann as its operator.  */
+/* Creates the team as the administrator, with ann as its operator.  */
 static void
 create_team (void)
 {
@@ -155,7 +157,7 @@
                            ann_hash);
   struct confedit_request request = set_request ("", json);
   request.secret = "root";
-  ck_assert_int_eq (ask (&request), CONFEDIT_DONE);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_DONE);
   free (json);
   ck_assert_uint_eq (got.revision, 1);
 }
@@ -194,7 +196,7 @@
   return value;
 }
 
-UNIT_TEST (test_change_is_made_once_and_listed)
+UNIT_TEST (test_change_is_applied_once_and_listed)
 {
   ck_assert_int_eq (set ("services/s/weight", "3"), CONFEDIT_DONE);
   ck_assert_uint_eq (got.revision, 2);
@@ -208,11 +210,11 @@
   ck_assert_uint_eq (platform.writes, 1);
   struct confedit_request request = set_request ("services/s/weight", "9");
   request.dry_run = true;
-  ck_assert_int_eq (ask (&request), CONFEDIT_DONE);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_DONE);
   ck_assert_int_eq (weight (), 3);
 }
 
-UNIT_TEST (test_faulty_changes_write_nothing)
+UNIT_TEST (test_invalid_changes_write_nothing)
 {
   ck_assert_int_eq (set ("services/s/weight", "0"), CONFEDIT_INVALID);
   ck_assert_uint_eq (got.findings, 1);
@@ -224,10 +226,10 @@
                                       .path = "services/no",
                                       .who = "ann",
                                       .secret = "pw" };
-  ck_assert_int_eq (ask (&request), CONFEDIT_INVALID);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_INVALID);
   request.change_id = "no blanks";
   request.team = "../dagohoy";
-  ck_assert_int_eq (ask (&request), CONFEDIT_INVALID);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_INVALID);
   ck_assert_uint_eq (got.findings, 2);
   size_t size = (size_t)(PLATFORM_VALUE_LIMIT_BYTES);
   char *big = mem_zalloc (size + 3);
@@ -250,30 +252,30 @@
       request.team = wrong[i][0];
       request.who = wrong[i][1];
       request.secret = wrong[i][2];
-      ck_assert_int_eq (ask (&request), CONFEDIT_FORBIDDEN);
+      ck_assert_int_eq (submit_and_run (&request), CONFEDIT_FORBIDDEN);
     }
   confedit_set_admin (edit, NULL);
   request.team = "dagohoy";
   request.secret = "root";
-  ck_assert_int_eq (ask (&request), CONFEDIT_FORBIDDEN);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_FORBIDDEN);
   ck_assert_uint_eq (platform.writes, 0);
 }
 
 static void
-other_operator (void)
+change_team_concurrently (void)
 {
   plan.before_write = NULL;
   ck_assert_int_eq (weight (), 1);
   char *old = mem_strdup (get (TEAM_KEY));
-  char *place = strstr (old, "\"weight\":1");
-  place[strlen ("\"weight\":")] = '7';
+  char *member = strstr (old, "\"weight\":1");
+  member[strlen ("\"weight\":")] = '7';
   sim_platform_set (&platform, TEAM_KEY, old);
   free (old);
 }
 
-UNIT_TEST (test_two_operators_at_once_give_a_conflict_with_the_difference)
+UNIT_TEST (test_concurrent_change_gives_a_conflict_with_the_difference)
 {
-  plan.before_write = other_operator;
+  plan.before_write = change_team_concurrently;
   ck_assert_int_eq (set ("services/s/kinds/k", "{}"), CONFEDIT_CONFLICT);
   ck_assert_str_eq (got.difference,
                     "[{\"path\":\"services/s/weight\",\"from\":1,\"to\":7}]");
@@ -281,13 +283,13 @@
   struct confedit_request request = set_request ("services/s/weight", "2");
   request.expects = true;
   request.expect_index = got.index - 1;
-  ck_assert_int_eq (ask (&request), CONFEDIT_CONFLICT);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_CONFLICT);
   request.expect_index = got.index;
-  ck_assert_int_eq (ask (&request), CONFEDIT_DONE);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_DONE);
 }
 
 static void
-other_team (void)
+change_other_team (void)
 {
   plan.before_write = NULL;
   const char *at = get (SYNC_HEAD_KEY);
@@ -302,27 +304,28 @@
 
 UNIT_TEST (test_change_of_another_team_is_no_conflict)
 {
-  plan.before_write = other_team;
+  plan.before_write = change_other_team;
   ck_assert_int_eq (set ("services/s/weight", "2"), CONFEDIT_DONE);
   ck_assert_uint_eq (got.revision, 3);
   ck_assert_uint_eq (platform.writes, 2);
 }
 
-/* Each way in which an answer is lost ends in one effect and "done".  */
+/* However the answer to a write is lost, the change takes effect once and is
+   reported as done.  */
 UNIT_TEST (test_lost_answers_are_resolved)
 {
-  const enum sim_fault ways[][2]
+  const enum sim_fault fault_pairs[][2]
       = { { SIM_FAULT_LOST_AFTER, SIM_FAULT_NONE },
           { SIM_FAULT_LOST_BEFORE, SIM_FAULT_NONE },
           { SIM_FAULT_LATE, SIM_FAULT_NONE },
           { SIM_FAULT_LOST_BEFORE, SIM_FAULT_LOST_AFTER },
           { SIM_FAULT_LATE, SIM_FAULT_LATE } };
-  for (size_t i = 0; i < sizeof ways / sizeof ways[0]; i++)
+  for (size_t i = 0; i < sizeof fault_pairs / sizeof fault_pairs[0]; i++)
     {
       char value[8];
       uint64_t before = revision ();
       snprintf (value, sizeof value, "%zu", i + 10);
-      memcpy (plan.faults, ways[i], sizeof ways[i]);
+      memcpy (plan.faults, fault_pairs[i], sizeof fault_pairs[i]);
       plan.fault_next = 0;
       plan.fault_count = 2;
       ck_assert_int_eq (set ("services/s/weight", value), CONFEDIT_DONE);
@@ -332,25 +335,27 @@
     }
 }
 
-/* While the answer is lost, more changes come in than the head lists.  */
+/* Simulates more changes of another team, while the answer to a write is lost,
+   than the head lists.  */
 static void
 wrap_history (void)
 {
   for (int i = 0; i < CONFHEAD_CHANGES; i++)
-    other_team ();
+    change_other_team ();
 }
 
 static void
-wrap_later (void *arg)
+on_wrap_timer (void *arg)
 {
   (void)arg;
   wrap_history ();
 }
 
 static enum confedit_status
-ask_and_wrap (const struct confedit_request *request, enum sim_fault fault)
+submit_and_wrap_history (const struct confedit_request *request,
+                         enum sim_fault fault)
 {
-  struct ktimer timer = { .fire = wrap_later };
+  struct ktimer timer = { .fire = on_wrap_timer };
   plan.faults[0] = fault;
   plan.fault_count = 1;
   plan.fault_next = 0;
@@ -363,47 +368,47 @@
   return got.status;
 }
 
-UNIT_TEST (test_unknown_is_said_when_the_history_has_wrapped)
+UNIT_TEST (test_lost_write_is_unknown_once_the_history_has_wrapped)
 {
   struct confedit_request request = set_request ("services/s/weight", "2");
-  ck_assert_int_eq (ask_and_wrap (&request, SIM_FAULT_LOST_AFTER),
+  ck_assert_int_eq (submit_and_wrap_history (&request, SIM_FAULT_LOST_AFTER),
                     CONFEDIT_UNKNOWN);
-  /* Without an effect, the untouched team tells.  */
+  /* The unchanged team proves that the write took no effect.  */
   request.json = "4";
-  ck_assert_int_eq (ask_and_wrap (&request, SIM_FAULT_LOST_BEFORE),
+  ck_assert_int_eq (submit_and_wrap_history (&request, SIM_FAULT_LOST_BEFORE),
                     CONFEDIT_DONE);
   ck_assert_int_eq (weight (), 4);
 }
 
 static void
-begin_outage (void)
+start_outage (void)
 {
   platform.outage = true;
 }
 
-UNIT_TEST (test_outage_gives_not_run_or_unknown_and_the_id_resolves_it)
+UNIT_TEST (test_outage_gives_not_run_or_unknown_resolved_by_the_id)
 {
   clk_ms start_ms = kernel_now (kernel);
   platform.outage = true;
   ck_assert_int_eq (set ("services/s/weight", "2"), CONFEDIT_UNAVAILABLE);
   ck_assert_int_lt (kernel_now (kernel) - start_ms, 30000);
   platform.outage = false;
-  plan.before_write = begin_outage;
+  plan.before_write = start_outage;
   plan.faults[0] = SIM_FAULT_LOST_AFTER;
   plan.fault_count = 1;
   struct confedit_request request = set_request ("services/s/weight", "2");
   request.change_id = "change-1";
-  ck_assert_int_eq (ask (&request), CONFEDIT_UNKNOWN);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_UNKNOWN);
   platform.outage = false;
   plan.before_write = NULL;
   uint64_t before = revision ();
-  ck_assert_int_eq (ask (&request), CONFEDIT_DONE);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_DONE);
   ck_assert_uint_eq (got.revision, before);
   ck_assert_uint_eq (revision (), before);
 }
 
-/* A write that is still on its way may take effect after the last try.  */
-UNIT_TEST (test_unknown_is_said_while_a_lost_write_may_still_land)
+/* A write in flight may take effect after the last retry.  */
+UNIT_TEST (test_lost_write_is_unknown_while_it_may_still_take_effect)
 {
   platform.late_ms = VERY_LATE_MS;
   for (size_t i = 0; i < CALLS; i++)
@@ -420,29 +425,29 @@
   ck_assert_uint_eq (platform.writes, 0);
 }
 
-UNIT_TEST (test_team_is_removed_and_calls_die_with_the_host)
+UNIT_TEST (test_team_is_removed_and_calls_in_flight_are_dropped)
 {
   struct confedit_request request = {
     .action = CONFEDIT_DELETE, .team = "dagohoy", .who = "ann", .secret = "pw"
   };
-  ck_assert_int_eq (ask (&request), CONFEDIT_DONE);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_DONE);
   ck_assert_ptr_null (get (TEAM_KEY));
   ck_assert_uint_eq (revision (), 2);
-  ck_assert_int_eq (ask (&request), CONFEDIT_FORBIDDEN);
+  ck_assert_int_eq (submit_and_run (&request), CONFEDIT_FORBIDDEN);
   submit (&request, NULL);
 }
 
 #define OPERATORS 24
 
-/* Operators add one kind each while any call may fail in any way: what was
-   said to be done is there, what was said not to be is not.  */
-UNIT_PLAIN_LOOP (test_outcomes_are_true_under_random_faults, 0, 40)
+/* Operators add one kind each while calls fail at random.  A change reported
+   as done must be stored, and one reported as not run must not be.  */
+UNIT_PLAIN_LOOP (test_reported_outcomes_hold_under_random_faults, 0, 40)
 {
   start ((uint64_t)_i + 100);
   create_team ();
   int status[OPERATORS];
   char path[64], value[64];
-  plan.fault_odds = 25;
+  plan.fault_percent = 25;
   for (int i = 0; i < OPERATORS; i++)
     {
       status[i] = -1;
@@ -452,20 +457,20 @@
       sim_run (&sim, (clk_ms)rng_below (&rng, 200));
     }
   run ();
-  uint64_t made = 0;
+  uint64_t applied = 0;
   for (int i = 0; i < OPERATORS; i++)
     {
       snprintf (value, sizeof value, "\"k%d\":", i);
-      bool there = strstr (get (TEAM_KEY), value) != NULL;
+      bool stored = strstr (get (TEAM_KEY), value) != NULL;
       ck_assert_int_ge (status[i], 0);
       if (status[i] == CONFEDIT_DONE)
-        ck_assert (there);
+        ck_assert (stored);
       else if (status[i] != CONFEDIT_UNKNOWN)
-        ck_assert (!there);
-      made += there;
+        ck_assert (!stored);
+      applied += stored;
     }
-  ck_assert_uint_eq (revision (), made + 1);
-  ck_assert_uint_gt (made, 0);
+  ck_assert_uint_eq (revision (), applied + 1);
+  ck_assert_uint_gt (applied, 0);
   stop ();
 }
 
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -1,4 +1,5 @@
-/* The configuration over HTTP, against the platform's stand-in.  */
+/* Tests of the HTTP interface to the configuration, with a stand-in for the
+   platform.  */
 
 #include <event2/buffer.h>
 #include <event2/http.h>
@@ -75,7 +76,7 @@
   standin_end (&standin);
 }
 
-/* Answer of the last request.  */
+/* The answer to the last request.  */
 static struct
 {
   bool done;
@@ -95,7 +96,8 @@
   got.done = true;
 }
 
-/* Lets the loop run, and the kernel's time faster than the clock.  */
+/* Runs the event loop until the answer arrives.  The kernel's virtual clock
+   advances faster than real time.  */
 static void
 run_until_answered (void)
 {
@@ -127,8 +129,8 @@
 }
 
 static int
-ask (enum evhttp_cmd_type method, const char *path, const char *credentials,
-     const char *body)
+send_and_wait (enum evhttp_cmd_type method, const char *path,
+               const char *credentials, const char *body)
 {
   struct evhttp_connection *conn
       = start (http_server_port (server), method, path, credentials, body);
@@ -140,17 +142,18 @@
 static int
 change (const char *credentials, const char *body)
 {
-  return ask (EVHTTP_REQ_POST, "/v1/config/change", credentials, body);
+  return send_and_wait (EVHTTP_REQ_POST, "/v1/config/change", credentials,
+                        body);
 }
 
 static int
 get (const char *path)
 {
-  return ask (EVHTTP_REQ_GET, path, NULL, "");
+  return send_and_wait (EVHTTP_REQ_GET, path, NULL, "");
 }
 
 static void
-fault (const char *path)
+set_fault (const char *path)
 {
   uint16_t port = standin_port (&standin, "port=");
   struct evhttp_connection *conn
@@ -160,7 +163,7 @@
 }
 
 static bool
-says (const char *text)
+answer_contains (const char *text)
 {
   return strstr (got.body, text) != NULL;
 }
@@ -174,7 +177,8 @@
       ann_hash);
   ck_assert_int_eq (change (ANN, body), 403);
   ck_assert_int_eq (change (ADMIN, body), 200);
-  ck_assert (says ("\"status\":\"done\"") && says ("\"revision\":1"));
+  ck_assert (answer_contains ("\"status\":\"done\"")
+             && answer_contains ("\"revision\":1"));
   free (body);
 }
 
@@ -188,12 +192,13 @@
   create_team ();
   ck_assert_int_eq (
       change (ANN, SET "\"path\":\"services/s/weight\",\"value\":3}"), 200);
-  ck_assert (says ("\"path\":\"services/s/weight\",\"to\":3"));
+  ck_assert (answer_contains ("\"path\":\"services/s/weight\",\"to\":3"));
   ck_assert_int_eq (get ("/v1/config?team=dagohoy&path=services"), 200);
-  ck_assert (says ("\"config\":{\"s\":{\"weight\":3}}"));
+  ck_assert (answer_contains ("\"config\":{\"s\":{\"weight\":3}}"));
   ck_assert_int_eq (get ("/v1/config?team=dagohoy&path=nothing"), 404);
   ck_assert_int_eq (get ("/v1/config/history?team=dagohoy"), 200);
-  ck_assert (says ("\"revision\":2") && says ("\"who\":\"ann\""));
+  ck_assert (answer_contains ("\"revision\":2")
+             && answer_contains ("\"who\":\"ann\""));
   ck_assert_int_eq (get ("/v1/config/history?team=other"), 200);
   ck_assert_str_eq (got.body, "{\"revision\":2,\"changes\":[]}");
 }
@@ -203,23 +208,24 @@
   create_team ();
   ck_assert_int_eq (
       change (ANN, SET "\"path\":\"services/s/weight\",\"value\":0}"), 422);
-  ck_assert (says ("\"path\":\"services/s/weight\",\"text\":\"must be an"));
+  ck_assert (answer_contains (
+      "\"path\":\"services/s/weight\",\"text\":\"must be an"));
   ck_assert_int_eq (change (ANN,
                             SET "\"path\":\"services/s/weight\",\"value\":2,"
                                 "\"index\":1}"),
                     409);
-  ck_assert (says ("\"difference\":[{"));
-  fault ("/control?outage=1");
+  ck_assert (answer_contains ("\"difference\":[{"));
+  set_fault ("/control?outage=1");
   ck_assert_int_eq (
       change (ANN, SET "\"path\":\"services/s/weight\",\"value\":2}"), 503);
-  ck_assert (says ("\"status\":\"not_run\""));
+  ck_assert (answer_contains ("\"status\":\"not_run\""));
   ck_assert_int_eq (get ("/v1/config?team=dagohoy"), 503);
-  fault ("/control?outage=0&lose=1");
+  set_fault ("/control?outage=0&lose=1");
   ck_assert_int_eq (
       change (ANN, SET "\"path\":\"services/s/weight\",\"value\":2}"), 200);
 }
 
-UNIT_TEST (test_malformed_requests_are_refused)
+UNIT_TEST (test_malformed_requests_are_rejected)
 {
   static const char *const bodies[]
       = { "",
@@ -241,10 +247,10 @@
   ck_assert_int_eq (get ("/v1/config/change"), 405);
 }
 
-/* Requests in flight when the host ends are dropped, not answered.  */
-UNIT_TEST (test_host_ends_with_a_change_in_flight)
+/* Requests in flight at shutdown are dropped without an answer.  */
+UNIT_TEST (test_host_shuts_down_with_a_change_in_flight)
 {
-  fault ("/control?outage=2");
+  set_fault ("/control?outage=2");
   struct evhttp_connection *conn
       = start (http_server_port (server), EVHTTP_REQ_POST, "/v1/config/change",
                ADMIN, SET "\"value\":{}}");
--- a/tests/unit/test_view.c
+++ b/tests/unit/test_view.c
@@ -19,9 +19,9 @@
   view_free (view);
 }
 
-/* Single quotes stand for double ones.  */
+/* Returns TEXT with single quotes replaced by double quotes.  */
 static char *
-quoted (const char *text)
+with_double_quotes (const char *text)
 {
   char *json = mem_strdup (text);
   for (char *p = json; *p != '\0'; p++)
@@ -33,7 +33,7 @@
 static bool
 apply (const char *team, const char *text)
 {
-  char *json = quoted (text);
+  char *json = with_double_quotes (text);
   bool ok = view_apply (view, team, json, strlen (json), &findings);
   free (json);
   return ok;
@@ -42,7 +42,7 @@
 static bool
 check (const char *team, const char *text)
 {
-  char *json = quoted (text);
+  char *json = with_double_quotes (text);
   bool ok = view_check (view, team, json, strlen (json), &findings);
   free (json);
   return ok;
@@ -61,7 +61,7 @@
 #define INSTANCE(name, port)                                                  \
   "'" name "': {'address': '127.0.0.1', 'port': " port ", 'domain': 'p'}"
 
-static const char good[]
+static const char valid_subtree[]
     = "{'services': {'depot-ledger': {'kinds': {"
       "'count': {'freshness': 'max_age', 'max_age_ms': 2000, 'write': false,"
       " 'repeatable': true, 'cost_ms': 200}, 'release': {}},"
@@ -74,7 +74,7 @@
 
 UNIT_TEST (test_apply_indexes_the_subtree_in_name_order)
 {
-  ck_assert (apply ("dagohoy", good));
+  ck_assert (apply ("dagohoy", valid_subtree));
   struct view_database *database = view_databases (view);
   ck_assert_str_eq (database->name, "dagohoy/depot-ledger/ledger-1");
   ck_assert (database->leaving);
@@ -90,9 +90,9 @@
   ck_assert_ptr_null (view_database (view, "dagohoy/depot-ledger/ledger-3"));
 }
 
-UNIT_TEST (test_undeclared_kind_gets_the_strictest_rules)
+UNIT_TEST (test_undeclared_kind_gets_the_strictest_settings)
 {
-  ck_assert (apply ("dagohoy", good));
+  ck_assert (apply ("dagohoy", valid_subtree));
   const struct view_service *service = view_services (view);
   const struct view_kind *count = view_kind (service, "count");
   ck_assert_int_eq (count->max_age_ms, 2000);
@@ -141,9 +141,9 @@
   ck_assert_uint_eq (findings.count, 17);
 }
 
-UNIT_TEST (test_faulty_subtree_leaves_the_view_as_it_was)
+UNIT_TEST (test_invalid_subtree_leaves_the_view_unchanged)
 {
-  ck_assert (apply ("dagohoy", good));
+  ck_assert (apply ("dagohoy", valid_subtree));
   uint64_t generation = view_generation (view);
   ck_assert (!apply ("dagohoy", "{'services': {'other': []}}"));
   ck_assert (!apply ("dagohoy", "{'services': {}, 'services': {}}"));
@@ -151,14 +151,15 @@
   ck_assert (!apply ("Bad team", "{}"));
   ck_assert_uint_eq (view_generation (view), generation);
   ck_assert_ptr_nonnull (view_service (view, "dagohoy/depot-ledger"));
-  /* Also when there is no more room for findings.  */
+  /* The subtree is rejected also when the list of findings is full.  */
   while (findings.count < FINDINGS_LIMIT)
     findings_add (&findings, "x", "y");
   ck_assert (!apply ("dagohoy", "{'services': 1}"));
 }
 
-/* Hosts of an older version must not lose a team over a new setting.  */
-UNIT_TEST (test_unknown_settings_are_passed_over_once_accepted)
+/* During a rolling upgrade, hosts of an older version must still apply a team
+   that has a new setting.  */
+UNIT_TEST (test_unknown_settings_are_ignored_once_accepted)
 {
   const char *json = "{'new': 1, 'services': {'s': {'newer': {}, 'kinds':"
                      " {'k': {'newest': []}}}}}";
@@ -169,11 +170,11 @@
   ck_assert_uint_eq (findings.count, 3);
 }
 
-UNIT_TEST (test_instances_of_other_teams_are_found)
+UNIT_TEST (test_addresses_of_other_teams_are_findings)
 {
-  ck_assert (apply ("ardhi", good));
-  ck_assert (check ("ardhi", good));
-  ck_assert (!check ("dagohoy", good));
+  ck_assert (apply ("ardhi", valid_subtree));
+  ck_assert (check ("ardhi", valid_subtree));
+  ck_assert (!check ("dagohoy", valid_subtree));
   ck_assert (found ("services/depot-ledger/databases/ledger-1/instances/a"
                     "/address",
                     "127.0.0.1 port 4 is that of ardhi/depot-ledger"));
@@ -181,10 +182,10 @@
   ck_assert_ptr_null (view_service (view, "dagohoy/depot-ledger"));
 }
 
-UNIT_TEST (test_teams_do_not_touch_each_other)
+UNIT_TEST (test_teams_are_independent)
 {
-  ck_assert (apply ("ardhi", good));
-  ck_assert (apply ("dagohoy", good));
+  ck_assert (apply ("ardhi", valid_subtree));
+  ck_assert (apply ("dagohoy", valid_subtree));
   ck_assert (apply ("ardhi", "{}"));
   ck_assert_ptr_null (view_service (view, "ardhi/depot-ledger"));
   ck_assert_uint_eq (HASH_COUNT (view_databases (view)), 2);
@@ -216,15 +217,15 @@
   ck_assert_ptr_null (view_operator (view, "ardhi", "ann"));
 }
 
-/* Cuts and single-byte changes of a valid subtree are accepted or refused
-   with a finding; nothing else.  */
-UNIT_TEST (test_damaged_subtrees_never_do_harm)
+/* A truncated subtree, or one with one byte changed, is either accepted or
+   rejected with a finding.  */
+UNIT_TEST (test_damaged_subtrees_are_accepted_or_rejected)
 {
-  size_t length = strlen (good);
+  size_t length = strlen (valid_subtree);
   for (size_t i = 0; i < length; i++)
     for (int change = 0; change < 4; change++)
       {
-        char *json = quoted (good);
+        char *json = with_double_quotes (valid_subtree);
         const char bytes[] = { '{', '\xff', '9', '"' };
         json[i] = bytes[change];
         size_t size = change == 0 ? i : length;
