--- a/src/core/view.c
+++ b/src/core/view.c
@@ -199,14 +199,14 @@
 }
 
 struct view_database *
-view_databases (struct view *view)
+view_first_database (struct view *view)
 {
   sort_indexes (view);
   return view->databases;
 }
 
 struct view_service *
-view_services (struct view *view)
+view_first_service (struct view *view)
 {
   sort_indexes (view);
   return view->services;
--- a/src/core/view.h
+++ b/src/core/view.h
@@ -130,8 +130,8 @@
    for view_apply, has no unknown settings, and none of its instances has the
    address and port of another team's instance.  Adds all errors to FINDINGS.
    The view is not modified.  */
-bool view_check (struct view *view, const char *team, const char *json,
-                 size_t length, struct findings *findings);
+bool view_validate (struct view *view, const char *team, const char *json,
+                    size_t length, struct findings *findings);
 
 /* These return the object with the global name NAME, or NULL.  */
 struct view_service *view_service (struct view *view, const char *name);
@@ -174,8 +174,8 @@
 
 /* Return the first database or service in name order, or NULL; hh.next is the
    next one.  */
-struct view_database *view_databases (struct view *view);
-struct view_service *view_services (struct view *view);
+struct view_database *view_first_database (struct view *view);
+struct view_service *view_first_service (struct view *view);
 
 /* Returns a counter that increases with each successful view_apply and each
    view_remove, to invalidate caches.  */
--- a/src/core/viewmod.h
+++ b/src/core/view_module.h
@@ -1,4 +1,4 @@
-/* viewmod - kernel module that gives the other modules access to the view.
+/* view_module - kernel module that gives the other modules access to the view.
 
    Module name: "view".  */
 
@@ -9,9 +9,9 @@
 #include "kernel/kernel.h"
 
 /* Returns a module that owns VIEW and frees it.  */
-struct module *viewmod_new (struct view *view);
+struct module *view_module_new (struct view *view);
 
 /* Returns the view registered with KERNEL.  */
-struct view *viewmod_get (struct kernel *kernel);
+struct view *view_module_get (struct kernel *kernel);
 
 #endif
