--- a/src/core/confedit_job.c
+++ b/src/core/confedit_job.c
@@ -203,7 +203,7 @@
 /* Authorizes and edits, in the first round.  Returns false if the job has
    ended.  */
 static bool
-prepare (struct confedit_job *job)
+prepare_write (struct confedit_job *job)
 {
   const struct confedit_request *request = &job->request;
   if (!confedit_allowed (job->confedit->admin_hash, request->team, &job->team,
@@ -265,7 +265,7 @@
 }
 
 static void
-evaluate (struct confedit_job *job)
+continue_round (struct confedit_job *job)
 {
   uint64_t revision;
   if (confhead_find (job->head, job->change_id, &revision))
@@ -273,12 +273,12 @@
       succeed (job, revision, job->team.index);
       return;
     }
-  if (job->edited ? check_base (job) : prepare (job))
+  if (job->edited ? check_base (job) : prepare_write (job))
     write_change (job);
 }
 
 static void
-on_head (void *arg, const struct platform_reply *reply)
+on_head_read (void *arg, const struct platform_reply *reply)
 {
   struct confedit_job *job = arg;
   job->call = 0;
@@ -296,7 +296,7 @@
   if (job->head == NULL)
     abort_change (job, SYNC_HEAD_KEY " is malformed");
   else
-    evaluate (job);
+    continue_round (job);
 }
 
 void
@@ -314,7 +314,7 @@
 /* The team is read before the head, so that the head shows the change id if a
    write of this job took effect between the two reads.  */
 static void
-on_team (void *arg, const struct platform_reply *reply)
+on_team_read (void *arg, const struct platform_reply *reply)
 {
   struct confedit_job *job = arg;
   job->call = 0;
@@ -332,12 +332,12 @@
       job->team.index = item->index;
       job->team.tree = json_loadb (item->value, item->value_bytes, 0, NULL);
     }
-  confedit_job_read (job, SYNC_HEAD_KEY, on_head);
+  confedit_job_read (job, SYNC_HEAD_KEY, on_head_read);
 }
 
 void
 confedit_job_start_round (void *arg)
 {
   struct confedit_job *job = arg;
-  confedit_job_read (job, job->team_key, on_team);
+  confedit_job_read (job, job->team_key, on_team_read);
 }
--- a/src/core/view_module.h
+++ b/src/core/view_module.h
@@ -2,8 +2,8 @@
 
    Module name: "view".  */
 
-#ifndef SAVORYWAY_CORE_VIEWMOD_H
-#define SAVORYWAY_CORE_VIEWMOD_H
+#ifndef SAVORYWAY_CORE_VIEW_MODULE_H
+#define SAVORYWAY_CORE_VIEW_MODULE_H
 
 #include "core/view.h"
 #include "kernel/kernel.h"
--- a/tests/unit/test_confedit.c
+++ b/tests/unit/test_confedit.c
@@ -440,7 +440,7 @@
 #define OPERATORS 24
 
 /* Operators add one kind each while calls fail at random.  A change reported
-   as done must be stored, and one reported as not run must not be.  */
+   as done must be stored; one of any other status but unknown must not be.  */
 UNIT_PLAIN_LOOP (test_reported_outcomes_hold_under_random_faults, 0, 40)
 {
   start ((uint64_t)_i + 100);
