--- a/src/kernel/clock.h
+++ b/src/kernel/clock.h
@@ -1,8 +1,9 @@
-/* clock - the project's one type for time.
+/* clock - time in milliseconds, and the clocks that provide it.
 
-   clk_ms holds a point in time or a span, in milliseconds.  Points come from
-   a monotonic clock whose origin is arbitrary: compare them only within one
-   process.  Spans cross hosts (a deadline travels as the time remaining).  */
+   clk_ms holds a point in time or a duration.  Points come from a monotonic
+   clock whose origin is arbitrary: compare them only within one process.
+   Only durations are sent to other hosts; a deadline is sent as the time
+   remaining.  */
 
 #ifndef SAVORYWAY_KERNEL_CLOCK_H
 #define SAVORYWAY_KERNEL_CLOCK_H
@@ -11,9 +12,10 @@
 
 typedef int64_t clk_ms;
 
+/* A point after all others: no timeout, nothing due.  */
 #define CLK_NEVER INT64_MAX
 
-/* A point before all others, from which spans can be taken.  */
+/* A point before all others.  Differences to it do not overflow.  */
 #define CLK_LONG_AGO (INT64_MIN / 4)
 
 struct clk;
@@ -23,7 +25,7 @@
   clk_ms (*now) (struct clk *clk);
 };
 
-/* A source of time; implementations embed it as their first member.  */
+/* Base of all clocks.  Implementations embed it as their first member.  */
 struct clk
 {
   const struct clk_ops *ops;
@@ -35,7 +37,7 @@
   return clk->ops->now (clk);
 }
 
-/* Clock whose time is set by its owner: tests, fuzzing, measurement.  */
+/* A clock whose time is set by its owner, for tests and simulations.  */
 struct clk_virtual
 {
   struct clk base;
--- a/src/kernel/histogram.h
+++ b/src/kernel/histogram.h
@@ -1,7 +1,8 @@
-/* histogram - counts of durations by size, printed as text exposition.
+/* histogram - durations counted in buckets, printed in Prometheus's text
+   exposition format.
 
-   The bounds grow from 1 ms to 5 s; each duration counts in every bucket
-   whose bound it does not exceed.  */
+   The upper bounds of the buckets grow from 1 ms to 5 s.  In memory each
+   duration counts in one bucket; printed buckets are cumulative.  */
 
 #ifndef SAVORYWAY_KERNEL_HISTOGRAM_H
 #define SAVORYWAY_KERNEL_HISTOGRAM_H
@@ -15,18 +16,20 @@
 
 struct histogram
 {
-  uint64_t counts[HISTOGRAM_BOUNDS + 1]; /* the last is beyond all bounds */
+  uint64_t counts[HISTOGRAM_BOUNDS + 1]; /* the last one has no bound */
   uint64_t total;
   clk_ms sum_ms;
 };
 
+/* Adds a duration of SPAN_MS milliseconds.  */
 void histogram_note (struct histogram *histogram, clk_ms span_ms);
 
-/* Returns the bound below which SHARE (0 to 1) of the durations are;
-   CLK_NEVER if it is beyond all bounds.  */
+/* Returns an upper bound of quantile SHARE (0 to 1) of the durations: the
+   bound of the bucket that it is in, or CLK_NEVER if that has none.  */
 clk_ms histogram_quantile (const struct histogram *histogram, double share);
 
-/* Writes its lines to OUT.  LABELS stand in each, as in "kind=\"read\"".  */
+/* Prints the lines of metric NAME to OUT, each with LABELS, for example
+   "kind=\"read\"".  */
 void histogram_print (const struct histogram *histogram, FILE *out,
                       const char *name, const char *labels);
 
--- a/src/kernel/kernel.h
+++ b/src/kernel/kernel.h
@@ -1,9 +1,10 @@
 /* kernel - module registry, timers and deferred calls on one thread.
 
-   A kernel holds the modules of one host.  Modules register under a name and
-   find each other with kernel_find.  Nothing here makes a system call: time
-   comes from the clock given to kernel_new, and the owner drives the kernel
-   with kernel_run_due whenever kernel_next_due has come.  */
+   A kernel owns the modules of one host.  Modules are registered under a name
+   and look each other up with kernel_find.  The kernel makes no system calls:
+   time comes from the clock given to kernel_new, and the owner's event loop
+   calls kernel_run_due at the time that kernel_next_due returns.  Tests and
+   simulations drive it with a virtual clock.  */
 
 #ifndef SAVORYWAY_KERNEL_KERNEL_H
 #define SAVORYWAY_KERNEL_KERNEL_H
@@ -27,7 +28,7 @@
   void (*free) (struct module *module);
 };
 
-/* A part of the host; implementations embed it as their first member.  */
+/* Base of all modules.  Implementations embed it as their first member.  */
 struct module
 {
   const struct module_ops *ops;
@@ -42,22 +43,23 @@
   void *arg;
   clk_ms due_ms;
   uint64_t seq;
-  size_t slot; /* place in the heap plus one; 0 while not armed */
+  size_t slot; /* index in the heap plus one; 0 while not armed */
 };
 
-/* Returns a kernel that reads CLK, draws from RNG and writes to LOG.  The
-   three outlive it.  Never fails: out of memory ends the process.  */
+/* Returns a kernel that uses CLK, RNG and LOG, which must outlive it.  Never
+   fails: the process ends when memory is exhausted.  */
 struct kernel *kernel_new (struct clk *clk, struct rng *rng, struct log *log);
 
 /* Frees all modules in reverse order of registration, then the kernel.  */
 void kernel_free (struct kernel *kernel);
 
-/* Adds MODULE; its name must be set and not yet taken.  */
+/* Adds MODULE; its name must be set and unique.  */
 void kernel_register (struct kernel *kernel, struct module *module);
 
 /* Returns the module named NAME, or NULL.  */
 struct module *kernel_find (struct kernel *kernel, const char *name);
 
+/* Starts all modules in order of registration.  */
 void kernel_start (struct kernel *kernel);
 
 clk_ms kernel_now (struct kernel *kernel);
@@ -65,22 +67,26 @@
 struct log *kernel_log (struct kernel *kernel);
 struct metrics *kernel_metrics (struct kernel *kernel);
 
-/* Arms TIMER for DUE_MS, replacing an earlier setting.  */
+/* Arms TIMER to fire once at DUE_MS, replacing an earlier due time.  */
 void kernel_timer_set (struct kernel *kernel, struct ktimer *timer,
                        clk_ms due_ms);
+
+/* Disarms TIMER; does nothing if it is not armed.  */
 void kernel_timer_cancel (struct kernel *kernel, struct ktimer *timer);
 
-/* Runs FN (ARG) from the next kernel_run_due, never from within this call.  */
+/* Calls FN (ARG) from the next kernel_run_due, never from within this
+   call.  */
 void kernel_defer (struct kernel *kernel, void (*fn) (void *), void *arg);
 
-/* Returns when kernel_run_due has work next; CLK_NEVER if there is none.  */
+/* Returns the time at which kernel_run_due next has work; CLK_NEVER if there
+   is none.  */
 clk_ms kernel_next_due (struct kernel *kernel);
 
 /* Runs deferred calls and all timers due by now.  Timers due at the same
    time fire in the order in which they were armed.  */
 void kernel_run_due (struct kernel *kernel);
 
-/* Returns how many timers and deferred calls are pending.  */
+/* Returns the number of armed timers and deferred calls.  */
 size_t kernel_pending (struct kernel *kernel);
 
 #endif
--- a/src/kernel/log.c
+++ b/src/kernel/log.c
@@ -10,15 +10,17 @@
 #include "kernel/mem.h"
 
 #define WINDOW_MS 1000
+
+/* Longer values are truncated.  */
 #define VALUE_LIMIT_BYTES 1024
 
-/* Lines of one event name in the current window.  */
+/* Rate limit of one event name.  */
 struct log_rate
 {
   char *event;
   clk_ms window_start_ms;
-  uint32_t lines;
-  uint64_t dropped;
+  uint32_t lines;   /* in the current window */
+  uint64_t dropped; /* not reported yet */
   UT_hash_handle hh;
 };
 
@@ -93,9 +95,9 @@
   return rate;
 }
 
-/* Takes one line of RATE's allowance; false if it is used up.  */
+/* Counts one line of RATE.  Returns false if it is over the limit.  */
 static bool
-take_line (struct log *log, struct log_rate *rate)
+consume_rate (struct log *log, struct log_rate *rate)
 {
   clk_ms now_ms = clk_now (log->clk);
   if (now_ms - rate->window_start_ms >= WINDOW_MS)
@@ -171,7 +173,7 @@
   if (log->rate_per_s > 0)
     {
       struct log_rate *rate = find_rate (log, event);
-      if (!take_line (log, rate))
+      if (!consume_rate (log, rate))
         return;
       dropped = rate->dropped;
       rate->dropped = 0;
--- a/src/kernel/log.h
+++ b/src/kernel/log.h
@@ -1,4 +1,5 @@
-/* log - one line of key=value pairs for each event, with syslog priority.
+/* log - structured log lines: one line of key=value pairs for each event, with
+   a syslog priority.
 
      log_event (log, LOG_INFO, "route", LOG_S ("database", db->name),
                 LOG_U ("term", term));
@@ -6,9 +7,9 @@
    prints  <6>event=route database=ledger-1 term=4
 
    Values with blanks, quotes, '=' or control characters are quoted and
-   escaped, so that no caller can start a line of its own.  Lines beyond the
-   rate limit of an event name are dropped and counted; the count goes out
-   with the event's next line as dropped=N.  */
+   escaped, so that input from callers can't inject a line.  Lines beyond the
+   rate limit of an event name are dropped and counted; the next line of that
+   event reports the count as dropped=N.  */
 
 #ifndef SAVORYWAY_KERNEL_LOG_H
 #define SAVORYWAY_KERNEL_LOG_H
@@ -50,12 +51,12 @@
     .key = (k), .kind = LOG_KIND_UNSIGNED, .u = (v)                           \
   }
 
-/* Receives a finished line without the newline.  */
+/* Receives a complete line without the newline.  */
 typedef void (*log_sink) (void *arg, int priority, const char *line);
 
-/* Returns a log that passes lines up to priority LEVEL to SINK.  CLK serves
-   the rate limit; RATE_PER_S is lines a second for each event name, 0 for
-   no limit.  */
+/* Returns a log that passes lines of priority LEVEL or more urgent to SINK.
+   RATE_PER_S is the limit in lines per second of each event name, measured
+   with CLK; 0 for no limit.  */
 struct log *log_new (struct clk *clk, int level, uint32_t rate_per_s,
                      log_sink sink, void *arg);
 void log_free (struct log *log);
@@ -66,11 +67,13 @@
 /* Sink that writes "<priority>line" to standard error.  */
 void log_to_stderr (void *arg, int priority, const char *line);
 
-/* Writes COUNT fields as one line; a NULL string prints as "-".  */
+/* Writes one line for EVENT with COUNT fields.  A NULL string prints as
+   "-".  */
 void log_write (struct log *log, int priority, const char *event,
                 const struct log_field *fields, size_t count);
 
-/* Writes the LOG_S, LOG_I and LOG_U fields that follow EVENT.  */
+/* Writes one line for EVENT with the LOG_S, LOG_I and LOG_U fields that
+   follow.  */
 #define log_event(log, priority, event, ...)                                  \
   do                                                                          \
     {                                                                         \
--- a/src/kernel/mem.h
+++ b/src/kernel/mem.h
@@ -1,20 +1,21 @@
 /* mem - allocation that ends the process when memory is exhausted.
 
-   Small bookkeeping allocations have no useful recovery on hosts that are
-   replaced at any time; buffers sized by callers are limited beforehand.  */
+   There is no useful recovery from a failed small allocation on hosts that may
+   be replaced at any time.  The size of buffers that depends on input from
+   callers is checked against a limit before they are allocated.  */
 
 #ifndef SAVORYWAY_KERNEL_MEM_H
 #define SAVORYWAY_KERNEL_MEM_H
 
 #include <stddef.h>
 
-/* Returns SIZE zeroed bytes.  */
+/* Returns SIZE zeroed bytes.  The caller frees all results of this module.  */
 void *mem_zalloc (size_t size);
 
 /* Resizes PTR to SIZE bytes; new bytes are not initialised.  */
 void *mem_resize (void *ptr, size_t size);
 
-/* Returns a copy of the string TEXT; NULL gives NULL.  */
+/* Returns a copy of the string TEXT, or NULL if TEXT is NULL.  */
 char *mem_strdup (const char *text);
 
 /* Returns a copy of SIZE bytes at DATA, with a NUL appended.  */
--- a/src/kernel/metrics.c
+++ b/src/kernel/metrics.c
@@ -14,9 +14,10 @@
   UT_hash_handle hh;
 };
 
+/* A histogram with its name and labels.  */
 struct distribution
 {
-  char *key; /* NAME{LABELS */
+  char *key; /* hash key: NAME{LABELS */
   char *name;
   char *labels;
   struct histogram histogram;
--- a/src/kernel/metrics.h
+++ b/src/kernel/metrics.h
@@ -1,5 +1,5 @@
-/* metrics - named counters, gauges and histograms, printed as text
-   exposition.  */
+/* metrics - named counters, gauges and histograms, printed in Prometheus's
+   text exposition format.  */
 
 #ifndef SAVORYWAY_KERNEL_METRICS_H
 #define SAVORYWAY_KERNEL_METRICS_H
@@ -13,16 +13,16 @@
 struct metrics *metrics_new (void);
 void metrics_free (struct metrics *metrics);
 
-/* Returns the value named NAME, created as 0.  NAME may carry labels:
-   "requests_total{outcome=\"done\"}".  The pointer stays valid.  Look it up
-   once and keep it where the path is hot.  */
+/* Returns the value named NAME; it is created as 0 at the first use.  NAME
+   may include labels: "requests_total{outcome=\"done\"}".  The pointer is
+   valid until metrics_free, so code on a hot path looks it up once.  */
 int64_t *metrics_value (struct metrics *metrics, const char *name);
 
 /* Adds 1 to the counter named NAME.  */
 void metrics_count (struct metrics *metrics, const char *name);
 
-/* Returns the histogram named NAME with LABELS, created empty.  The pointer
-   stays valid.  */
+/* Returns the histogram named NAME with LABELS; it is created empty at the
+   first use.  The pointer is valid until metrics_free.  */
 struct histogram *metrics_histogram (struct metrics *metrics, const char *name,
                                      const char *labels);
 
--- a/src/kernel/mutant.h
+++ b/src/kernel/mutant.h
@@ -1,9 +1,9 @@
-/* mutant - deliberate faults, to prove that the tests notice them.
+/* mutant - deliberate faults for mutation testing: they prove that the tests
+   detect them.
 
    In a build with -DMUTANTS a test selects one fault by name, and
-   MUTANT (name) is true at its place.  In every other build MUTANT (name) is
-   the constant false.  "make mutants" runs the list in
-   tests/fuzz/mutants.txt.  */
+   MUTANT (name) is then true.  In every other build MUTANT (name) is the
+   constant 0.  "make mutants" runs the list in tests/fuzz/mutants.txt.  */
 
 #ifndef SAVORYWAY_KERNEL_MUTANT_H
 #define SAVORYWAY_KERNEL_MUTANT_H
--- a/src/kernel/rng.h
+++ b/src/kernel/rng.h
@@ -1,7 +1,7 @@
 /* rng - random numbers from a ChaCha20 stream (libsodium).
 
-   One seed gives one sequence, so a virtual run repeats exactly.  Not for
-   keys: those come from randombytes_buf.  */
+   The same seed always gives the same sequence, so that simulated runs are
+   reproducible.  Not for cryptographic keys: use randombytes_buf.  */
 
 #ifndef SAVORYWAY_KERNEL_RNG_H
 #define SAVORYWAY_KERNEL_RNG_H
@@ -16,16 +16,17 @@
 {
   uint8_t key[RNG_KEY_BYTES];
   uint8_t block[RNG_BLOCK_BYTES];
-  uint64_t block_number;
-  size_t used;
+  uint64_t block_number; /* of the next block */
+  size_t used;           /* bytes of the current block */
 };
 
-/* Starts the sequence of SEED.  */
+/* Seeds RNG with SEED.  */
 void rng_init (struct rng *rng, uint64_t seed);
 
-/* Starts a sequence seeded by the operating system.  */
+/* Seeds RNG from the operating system.  */
 void rng_init_system (struct rng *rng);
 
+/* Returns 64 uniform random bits.  */
 uint64_t rng_u64 (struct rng *rng);
 
 /* Returns a uniform number in [0, BOUND); 0 for a BOUND of 0.  */
