--- a/src/kernel/log.c
+++ b/src/kernel/log.c
@@ -97,7 +97,7 @@
 
 /* Counts one line of RATE.  Returns false if it is over the limit.  */
 static bool
-consume_rate (struct log *log, struct log_rate *rate)
+admit_line (struct log *log, struct log_rate *rate)
 {
   clk_ms now_ms = clk_now (log->clk);
   if (now_ms - rate->window_start_ms >= WINDOW_MS)
@@ -173,7 +173,7 @@
   if (log->rate_per_s > 0)
     {
       struct log_rate *rate = find_rate (log, event);
-      if (!consume_rate (log, rate))
+      if (!admit_line (log, rate))
         return;
       dropped = rate->dropped;
       rate->dropped = 0;
--- a/tests/unit/test_kernel.c
+++ b/tests/unit/test_kernel.c
@@ -1,7 +1,10 @@
+/* Tests of the kernel: timers, log, random numbers, metrics.  */
+
 #include "kernel/kernel.h"
 #include "kernel/mem.h"
 #include "unit.h"
 
+/* Names of the timers and calls in the order in which they ran.  */
 struct fired
 {
   char order[16];
@@ -11,7 +14,7 @@
 static struct fired fired;
 
 static void
-note (void *arg)
+record_timer (void *arg)
 {
   fired.order[fired.count++] = *(const char *)arg;
 }
@@ -19,7 +22,7 @@
 static char last_line[512];
 
 static void
-keep_line (void *arg, int priority, const char *line)
+store_last_line (void *arg, int priority, const char *line)
 {
   (void)arg;
   (void)priority;
@@ -33,10 +36,10 @@
   clk_virtual_init (&clk, 100);
   rng_init (&rng, 1);
   struct kernel *kernel = kernel_new (&clk.base, &rng, NULL);
-  struct ktimer a = { .fire = note, .arg = "a" };
-  struct ktimer b = { .fire = note, .arg = "b" };
-  struct ktimer c = { .fire = note, .arg = "c" };
-  struct ktimer d = { .fire = note, .arg = "d" };
+  struct ktimer a = { .fire = record_timer, .arg = "a" };
+  struct ktimer b = { .fire = record_timer, .arg = "b" };
+  struct ktimer c = { .fire = record_timer, .arg = "c" };
+  struct ktimer d = { .fire = record_timer, .arg = "d" };
   memset (&fired, 0, sizeof fired);
   kernel_timer_set (kernel, &a, 130);
   kernel_timer_set (kernel, &b, 110);
@@ -47,7 +50,7 @@
   clk.now_ms = 120;
   kernel_run_due (kernel);
   ck_assert_str_eq (fired.order, "bc");
-  kernel_defer (kernel, note, "x");
+  kernel_defer (kernel, record_timer, "x");
   clk.now_ms = 130;
   kernel_run_due (kernel);
   ck_assert_str_eq (fired.order, "bcxa");
@@ -56,11 +59,11 @@
   kernel_free (kernel);
 }
 
-UNIT_TEST (test_log_quotes_values_so_that_no_line_is_injected)
+UNIT_TEST (test_log_quotes_values_to_prevent_line_injection)
 {
   struct clk_virtual clk;
   clk_virtual_init (&clk, 0);
-  struct log *log = log_new (&clk.base, LOG_INFO, 0, keep_line, NULL);
+  struct log *log = log_new (&clk.base, LOG_INFO, 0, store_last_line, NULL);
   log_event (log, LOG_INFO, "x", LOG_S ("a", "b\nevent=y"), LOG_I ("n", -3),
              LOG_S ("plain", "ok"), LOG_S ("none", NULL));
   ck_assert_str_eq (last_line,
@@ -72,7 +75,7 @@
 {
   struct clk_virtual clk;
   clk_virtual_init (&clk, 0);
-  struct log *log = log_new (&clk.base, LOG_INFO, 2, keep_line, NULL);
+  struct log *log = log_new (&clk.base, LOG_INFO, 2, store_last_line, NULL);
   for (int i = 0; i < 5; i++)
     log_event (log, LOG_INFO, "x", LOG_I ("i", i));
   ck_assert_str_eq (last_line, "event=x i=1");
@@ -111,7 +114,7 @@
   metrics_free (metrics);
 }
 
-UNIT_PLAIN (test_a_histogram_counts_durations_below_each_bound)
+UNIT_PLAIN (test_histogram_counts_durations_below_each_bound)
 {
   struct metrics *metrics = metrics_new ();
   struct histogram *histogram = metrics_histogram (metrics, "x_ms", "a=\"b\"");
--- a/tests/unit/test_serve.c
+++ b/tests/unit/test_serve.c
@@ -1,5 +1,5 @@
-/* One host of `savoryway serve' as a process, against the stand-in of the
-   platform.  */
+/* Tests of `savoryway serve': one host runs as a process against a stand-in
+   of the platform's store, promotion endpoint and instances.  */
 
 #include <netinet/in.h>
 #include <poll.h>
@@ -10,15 +10,15 @@
 #include "kernel/mem.h"
 #include "unit.h"
 
-#define LINES 400
+#define LOG_LINE_LIMIT 400
 #define READY_TRIES 100
 
 static struct standin fleet;
 static pid_t host;
 static FILE *host_log;
-static uint16_t callers;
-static uint16_t ready;
-static uint16_t metrics;
+static uint16_t caller_port;
+static uint16_t ready_port;
+static uint16_t metrics_port;
 
 static int
 connect_to (uint16_t port)
@@ -38,7 +38,8 @@
   ck_assert_int_eq (write (fd, text, strlen (text)), (ssize_t)strlen (text));
 }
 
-/* Reads up to and with the line that begins with END, or to the end.  */
+/* Reads until a whole line that contains END has arrived, or until the end of
+   the stream.  Returns all text read.  */
 static char *
 read_until (int fd, const char *end)
 {
@@ -57,8 +58,9 @@
     }
 }
 
+/* Runs STATEMENT and returns the answer up to READY.  */
 static const char *
-ask (int fd, const char *statement)
+query (int fd, const char *statement)
 {
   static unsigned number;
   char *text = mem_printf ("QUERY q%u %s\r\n", ++number, statement);
@@ -68,7 +70,7 @@
 }
 
 static const char *
-get (uint16_t port, const char *path)
+http_get (uint16_t port, const char *path)
 {
   int fd = connect_to (port);
   char *text = mem_printf (
@@ -80,8 +82,9 @@
   return answer;
 }
 
+/* Injects the fault that BODY describes into the stand-in.  */
 static void
-control (const char *body)
+inject_fault (const char *body)
 {
   int fd = connect_to (standin_port (&fleet, "control="));
   char *text = mem_printf ("POST /fault HTTP/1.1\r\nHost: t\r\nConnection: "
@@ -93,21 +96,23 @@
   close (fd);
 }
 
+/* Opens a session with the database "ledger".  */
 static int
 start_session (void)
 {
-  int fd = connect_to (callers);
+  int fd = connect_to (caller_port);
   send_text (fd, "STARTUP ledger u1\r\n");
   ck_assert_str_eq (read_until (fd, "READY"), "READY I -\r\n");
   return fd;
 }
 
+/* Returns the port of the listener INTERFACE from the host's log.  */
 static uint16_t
 read_port (const char *interface)
 {
   char line[1024];
   char *wanted = mem_printf ("interface=%s port=", interface);
-  for (int i = 0; i < LINES; i++)
+  for (int i = 0; i < LOG_LINE_LIMIT; i++)
     {
       ck_assert_ptr_nonnull (fgets (line, sizeof line, host_log));
       const char *at = strstr (line, wanted);
@@ -117,10 +122,10 @@
       free (wanted);
       return port;
     }
-  ck_abort_msg ("no line of %s", interface);
+  ck_abort_msg ("the host logged no port of its listener \"%s\"", interface);
 }
 
-/* A port that nothing listens on.  */
+/* Returns a port that nothing listens on.  */
 static unsigned
 free_port (void)
 {
@@ -134,7 +139,8 @@
   return ntohs (address.sin_port);
 }
 
-/* Starts a host against the store and the promotions at these ports.  */
+/* Starts a host that uses the store and the promotion endpoint at the given
+   ports.  */
 static void
 start_host (unsigned store_port, unsigned promote_port)
 {
@@ -158,9 +164,9 @@
   host = standin_start ("savoryway", argv, (const int[]){ -1, out[1], -1 });
   close (out[1]);
   host_log = fdopen (out[0], "r");
-  callers = read_port ("callers");
-  ready = read_port ("ready");
-  metrics = read_port ("metrics");
+  caller_port = read_port ("callers");
+  ready_port = read_port ("ready");
+  metrics_port = read_port ("metrics");
   free (store);
   free (promote);
   free (peers);
@@ -183,7 +189,8 @@
   standin_spawn (&fleet, "fleet_standin", none);
   start_host (standin_port (&fleet, "store="),
               standin_port (&fleet, "promote="));
-  for (int i = 0; strstr (get (ready, "/readyz"), " 200 ") == NULL; i++)
+  for (int i = 0; strstr (http_get (ready_port, "/readyz"), " 200 ") == NULL;
+       i++)
     {
       ck_assert_int_lt (i, READY_TRIES);
       usleep (50000);
@@ -197,79 +204,80 @@
   standin_end (&fleet);
 }
 
-UNIT_TEST (test_a_session_writes_and_reads_its_write)
+UNIT_TEST (test_session_reads_its_own_write)
 {
   int fd = start_session ();
-  const char *answer = ask (fd, "WRITE 1 blue");
+  const char *answer = query (fd, "WRITE 1 blue");
   ck_assert_msg (strncmp (answer, "COMPLETE i-0.q", 14) == 0, "%s", answer);
-  answer = ask (fd, "READ 1");
+  answer = query (fd, "READ 1");
   ck_assert_msg (strncmp (answer, "ROW blue\r\nCOMPLETE i-", 21) == 0, "%s",
                  answer);
-  ck_assert_ptr_nonnull (strstr (get (metrics, "/metrics"),
+  ck_assert_ptr_nonnull (strstr (http_get (metrics_port, "/metrics"),
                                  "savoryway_statements_total{code=\"ok\"}"));
   close (fd);
 }
 
-UNIT_TEST (test_operators_are_told_the_state_of_a_host)
+UNIT_TEST (test_operator_endpoints_report_host_state)
 {
-  const char *status = get (metrics, "/v1/status");
+  const char *status = http_get (metrics_port, "/v1/status");
   ck_assert_ptr_nonnull (strstr (status, "\"host\":\"h1\""));
   ck_assert_ptr_nonnull (strstr (status, "\"ready\":true"));
   ck_assert_ptr_nonnull (strstr (status, "\"store_reached\":true"));
-  const char *topology = get (metrics, "/v1/topology");
+  const char *topology = http_get (metrics_port, "/v1/topology");
   ck_assert_ptr_nonnull (strstr (topology, "\"name\":\"i-0\""));
   ck_assert_ptr_nonnull (strstr (topology, "\"gateways\":[\"h1\"]"));
-  const char *why = get (metrics, "/v1/explain?database=ledger");
+  const char *why = http_get (metrics_port, "/v1/explain?database=ledger");
   ck_assert_ptr_nonnull (strstr (why, "\"primary\":\"i-0\""));
   ck_assert_ptr_nonnull (strstr (why, "\"why\":\""));
   ck_assert_ptr_nonnull (
-      strstr (get (metrics, "/v1/explain?database=none"), " 404 "));
-  ck_assert_ptr_nonnull (strstr (get (metrics, "/v1/explain"), " 400 "));
+      strstr (http_get (metrics_port, "/v1/explain?database=none"), " 404 "));
   ck_assert_ptr_nonnull (
-      strstr (get (metrics, "/metrics"), "savoryway_statement_ms_bucket{"));
+      strstr (http_get (metrics_port, "/v1/explain"), " 400 "));
+  ck_assert_ptr_nonnull (strstr (http_get (metrics_port, "/metrics"),
+                                 "savoryway_statement_ms_bucket{"));
 }
 
-UNIT_TEST (test_a_transaction_is_answered_step_by_step)
+UNIT_TEST (test_answers_report_the_transaction_state)
 {
   int fd = start_session ();
-  ck_assert_str_eq (ask (fd, "BEGIN"), "COMPLETE -\r\nREADY T -\r\n");
-  ck_assert_ptr_nonnull (strstr (ask (fd, "WRITE 2 red"), "READY T "));
-  ck_assert_ptr_nonnull (strstr (ask (fd, "COMMIT"), "READY I "));
-  ck_assert_ptr_nonnull (strstr (ask (fd, "NONSENSE"), "ERROR MALFORMED"));
+  ck_assert_str_eq (query (fd, "BEGIN"), "COMPLETE -\r\nREADY T -\r\n");
+  ck_assert_ptr_nonnull (strstr (query (fd, "WRITE 2 red"), "READY T "));
+  ck_assert_ptr_nonnull (strstr (query (fd, "COMMIT"), "READY I "));
+  ck_assert_ptr_nonnull (strstr (query (fd, "NONSENSE"), "ERROR MALFORMED"));
   close (fd);
 }
 
-UNIT_TEST (test_a_database_that_is_not_configured_is_refused)
+UNIT_TEST (test_unknown_database_is_refused)
 {
-  int fd = connect_to (callers);
+  int fd = connect_to (caller_port);
   send_text (fd, "STARTUP nowhere u1\r\n");
   ck_assert_str_eq (read_until (fd, "READY"), "ERROR NODB nowhere\r\n");
   close (fd);
 }
 
-UNIT_PLAIN (test_no_database_is_unknown_before_the_configuration_is_read)
+UNIT_PLAIN (test_sessions_wait_until_configuration_is_loaded)
 {
   struct pollfd poll_fd = { .events = POLLIN };
-  unsigned nobody = free_port ();
-  start_host (nobody, nobody);
-  poll_fd.fd = connect_to (callers);
+  unsigned unused_port = free_port ();
+  start_host (unused_port, unused_port);
+  poll_fd.fd = connect_to (caller_port);
   send_text (poll_fd.fd, "STARTUP ledger u1\r\n");
   ck_assert_int_eq (poll (&poll_fd, 1, 700), 0);
-  ck_assert_ptr_null (strstr (get (ready, "/readyz"), " 200 "));
+  ck_assert_ptr_null (strstr (http_get (ready_port, "/readyz"), " 200 "));
   close (poll_fd.fd);
   stop_host ();
 }
 
-UNIT_TEST (test_a_crashed_primary_is_replaced)
+UNIT_TEST (test_crashed_primary_is_replaced)
 {
   int fd = start_session ();
-  ask (fd, "WRITE 3 one");
-  control ("{\"instance\":0,\"kind\":\"crash\"}");
+  query (fd, "WRITE 3 one");
+  inject_fault ("{\"instance\":0,\"kind\":\"crash\"}");
   const char *answer = "";
   for (int i = 0; i < 60 && strncmp (answer, "COMPLETE", 8) != 0; i++)
     {
       usleep (50000);
-      answer = ask (fd, "WRITE 3 two");
+      answer = query (fd, "WRITE 3 two");
     }
   ck_assert_msg (strncmp (answer, "COMPLETE i-", 11) == 0, "%s", answer);
   close (fd);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -1,4 +1,5 @@
-/* The platform's messages: statements, answers, the store, entries.  */
+/* Tests of the platform's codecs: statements and answers on the wire, calls
+   of the store, entries of operators and instances.  */
 
 #include <event2/buffer.h>
 
@@ -22,8 +23,9 @@
   wire_parse_request (&request, line, text);
 }
 
+/* Removes and returns the content of BUFFER.  */
 static char *
-take (struct evbuffer *buffer)
+drain_buffer (struct evbuffer *buffer)
 {
   size_t length = evbuffer_get_length (buffer);
   char *out = mem_zalloc (length + 1);
@@ -31,7 +33,7 @@
   return out;
 }
 
-UNIT_PLAIN (test_statements_are_told_apart)
+UNIT_PLAIN (test_parses_kinds_of_statements)
 {
   static const struct
   {
@@ -67,7 +69,7 @@
     }
 }
 
-UNIT_PLAIN (test_a_text_is_kept_to_the_letter)
+UNIT_PLAIN (test_statement_text_is_forwarded_unchanged)
 {
   parse ("QUERY 5c0e WRITE 1a4  two blanks and  a tail ");
   ck_assert_str_eq (request.statement.id, "5c0e");
@@ -75,24 +77,24 @@
                     "WRITE 1a4  two blanks and  a tail ");
   struct evbuffer *out = evbuffer_new ();
   wire_put_statement (out, &request.statement, NULL);
-  char *sent = take (out);
+  char *sent = drain_buffer (out);
   ck_assert_str_eq (sent, "QUERY 5c0e WRITE 1a4  two blanks and  a tail \r\n");
   free (sent);
   wire_put_statement (out, &request.statement, &(struct position){ 3, 1207 });
-  sent = take (out);
+  sent = drain_buffer (out);
   ck_assert_str_eq (sent, "QUERY 5c0e AFTER 3.1207 WRITE 1a4  two blanks and  "
                           "a tail \r\n");
   free (sent);
   evbuffer_free (out);
 }
 
-UNIT_PLAIN (test_nothing_is_smuggled_into_an_instance)
+UNIT_PLAIN (test_rejects_injected_messages_and_reserved_ids)
 {
   parse ("QUERY 1 READ a\nQUERY 2 WRITE a 1");
   ck_assert_int_eq (request.kind, WIRE_MALFORMED);
   parse ("QUERY 1 READ a\rQUERY 2 WRITE a 1");
   ck_assert_int_eq (request.kind, WIRE_MALFORMED);
-  /* The mark of the system's own statements.  */
+  /* "-" is reserved for statements of the proxy itself.  */
   parse ("QUERY - STEPDOWN 9");
   ck_assert_int_eq (request.kind, WIRE_MALFORMED);
   parse ("QUERY -");
@@ -101,7 +103,7 @@
   ck_assert_int_eq (request.kind, WIRE_MALFORMED);
 }
 
-UNIT_PLAIN (test_answers_of_instances_are_read)
+UNIT_PLAIN (test_parses_replies_of_instances)
 {
   struct answer answer = { 0 };
   char ready[] = "READY E 3.1209";
@@ -116,14 +118,14 @@
   ck_assert_int_eq (wire_parse_reply (&answer, error), WIRE_ERROR);
   ck_assert_int_eq (answer.code, CODE_READONLY);
   ck_assert_str_eq (answer.text, "i-7f3a91c2");
-  char unknown[] = "ERROR NEWCODE what";
-  ck_assert_int_eq (wire_parse_reply (&answer, unknown), WIRE_ERROR);
+  char unknown_code[] = "ERROR NEWCODE what";
+  ck_assert_int_eq (wire_parse_reply (&answer, unknown_code), WIRE_ERROR);
   ck_assert_int_eq (answer.code, CODE_FAILED);
-  char odd[] = "READY X 1.2";
-  ck_assert_int_eq (wire_parse_reply (&answer, odd), WIRE_UNKNOWN);
+  char unknown_state[] = "READY X 1.2";
+  ck_assert_int_eq (wire_parse_reply (&answer, unknown_state), WIRE_UNKNOWN);
 }
 
-UNIT_PLAIN (test_the_state_of_an_instance_is_read)
+UNIT_PLAIN (test_parses_instance_status)
 {
   struct instance_status status;
   struct answer answer
@@ -137,7 +139,7 @@
   ck_assert (!wire_parse_status (&status, &answer));
 }
 
-UNIT_PLAIN (test_answers_to_callers)
+UNIT_PLAIN (test_prints_answers_to_callers)
 {
   struct evbuffer *out = evbuffer_new ();
   struct answer answer
@@ -145,7 +147,7 @@
   wire_put_answer (out, &answer);
   answer = (struct answer){ .code = CODE_OK };
   wire_put_answer (out, &answer);
-  char *sent = take (out);
+  char *sent = drain_buffer (out);
   ck_assert_str_eq (sent, "ERROR BUSY later\r\nREADY E -\r\n"
                           "COMPLETE -\r\nREADY I -\r\n");
   free (sent);
@@ -160,7 +162,7 @@
   return answer;
 }
 
-UNIT_PLAIN (test_a_watch_tells_changes_and_removals)
+UNIT_PLAIN (test_watch_returns_changes_and_removals)
 {
   struct kv_answer answer = store_answer (
       PLATFORM_WATCH, 200,
@@ -178,7 +180,7 @@
   ck_assert_int_eq (answer.reply.status, PLATFORM_COMPACTED);
 }
 
-UNIT_PLAIN (test_lost_and_refused_calls_are_told_apart)
+UNIT_PLAIN (test_distinguishes_lost_and_refused_store_calls)
 {
   ck_assert_int_eq (store_answer (PLATFORM_WRITE, 503, "").reply.status,
                     PLATFORM_UNAVAILABLE);
@@ -196,7 +198,7 @@
                     PLATFORM_UNAVAILABLE);
 }
 
-UNIT_PLAIN (test_a_conditional_write_names_what_it_expects)
+UNIT_PLAIN (test_write_contains_expected_revisions)
 {
   struct platform_write write = {
     .key = "my/leader", .value = "node-1", .value_bytes = 6, .lease = "77120"
@@ -230,7 +232,7 @@
   return entries_parse_instance (entry, &item);
 }
 
-UNIT_PLAIN (test_entries_of_other_writers_name_no_instance)
+UNIT_PLAIN (test_unusable_instance_entries_are_rejected)
 {
   struct instance_entry entry;
   ck_assert (parse_entry (
@@ -241,7 +243,7 @@
   ck_assert_str_eq (entry.address, "10.128.0.9");
   ck_assert_uint_eq (entry.port, 8080);
   ck_assert (entry.draining && entry.is_primary);
-  static const char *const foreign[] = {
+  static const char *const unusable[] = {
     "",
     "[]",
     "{}",
@@ -257,9 +259,9 @@
     "{\"service\":\"s\",\"address\":\"10.0.0.1:1\",\"zone\":\"z\","
     "\"state\":\"ready\",\"db_role\":\"king\"}",
   };
-  for (size_t i = 0; i < sizeof foreign / sizeof foreign[0]; i++)
-    ck_assert_msg (!parse_entry (&entry, "servers/i-1", foreign[i]), "%s",
-                   foreign[i]);
+  for (size_t i = 0; i < sizeof unusable / sizeof unusable[0]; i++)
+    ck_assert_msg (!parse_entry (&entry, "servers/i-1", unusable[i]), "%s",
+                   unusable[i]);
 }
 
 static const char *const config
@@ -269,7 +271,7 @@
       "\"s\",\"max_conns\":72,\"sync_replicas\":0}],\"limits\":{"
       "\"tx_idle_ms\":3000}}";
 
-UNIT_PLAIN (test_a_configuration_is_read)
+UNIT_PLAIN (test_parses_configuration)
 {
   struct catalog_config out;
   struct platform_item item = { .key = "op/config",
@@ -284,7 +286,8 @@
   catalog_config_clear (&out);
 }
 
-/* Changes some bytes of SEED at random, or cuts it.  */
+/* Copies SEED to OUT, of SIZE bytes, with up to 3 random bytes changed and in
+   one of 4 cases truncated.  Returns the new length.  */
 static size_t
 mutate (struct rng *rng, const char *seed, char *out, size_t size)
 {
@@ -303,7 +306,7 @@
   return length;
 }
 
-UNIT_PLAIN (test_no_input_from_outside_is_fatal)
+UNIT_PLAIN (test_mutated_input_does_not_crash_the_parsers)
 {
   static const char *const messages[] = { "STARTUP lepu270 u3f1",
                                           "QUERY 5c0e PREPARE s1 WRITE q2c",
