--- a/src/kernel/histogram.h
+++ b/src/kernel/histogram.h
@@ -22,7 +22,7 @@
 };
 
 /* Adds a duration of SPAN_MS milliseconds.  */
-void histogram_note (struct histogram *histogram, clk_ms span_ms);
+void histogram_observe (struct histogram *histogram, clk_ms span_ms);
 
 /* Returns an upper bound of quantile SHARE (0 to 1) of the durations: the
    bound of the bucket that it is in, or CLK_NEVER if that has none.  */
