--- a/tests/unit/test_serve.c
+++ b/tests/unit/test_serve.c
@@ -16,9 +16,11 @@
 static struct standin fleet;
 static pid_t host;
 static FILE *host_log;
-static uint16_t caller_port;
-static uint16_t ready_port;
-static uint16_t metrics_port;
+
+/* Ports of the host's listeners.  */
+static uint16_t callers;
+static uint16_t ready;
+static uint16_t metrics;
 
 static int
 connect_to (uint16_t port)
@@ -100,7 +102,7 @@
 static int
 start_session (void)
 {
-  int fd = connect_to (caller_port);
+  int fd = connect_to (callers);
   send_text (fd, "STARTUP ledger u1\r\n");
   ck_assert_str_eq (read_until (fd, "READY"), "READY I -\r\n");
   return fd;
@@ -164,9 +166,9 @@
   host = standin_start ("savoryway", argv, (const int[]){ -1, out[1], -1 });
   close (out[1]);
   host_log = fdopen (out[0], "r");
-  caller_port = read_port ("callers");
-  ready_port = read_port ("ready");
-  metrics_port = read_port ("metrics");
+  callers = read_port ("callers");
+  ready = read_port ("ready");
+  metrics = read_port ("metrics");
   free (store);
   free (promote);
   free (peers);
@@ -189,8 +191,7 @@
   standin_spawn (&fleet, "fleet_standin", none);
   start_host (standin_port (&fleet, "store="),
               standin_port (&fleet, "promote="));
-  for (int i = 0; strstr (http_get (ready_port, "/readyz"), " 200 ") == NULL;
-       i++)
+  for (int i = 0; strstr (http_get (ready, "/readyz"), " 200 ") == NULL; i++)
     {
       ck_assert_int_lt (i, READY_TRIES);
       usleep (50000);
@@ -212,28 +213,27 @@
   answer = query (fd, "READ 1");
   ck_assert_msg (strncmp (answer, "ROW blue\r\nCOMPLETE i-", 21) == 0, "%s",
                  answer);
-  ck_assert_ptr_nonnull (strstr (http_get (metrics_port, "/metrics"),
+  ck_assert_ptr_nonnull (strstr (http_get (metrics, "/metrics"),
                                  "savoryway_statements_total{code=\"ok\"}"));
   close (fd);
 }
 
 UNIT_TEST (test_operator_endpoints_report_host_state)
 {
-  const char *status = http_get (metrics_port, "/v1/status");
+  const char *status = http_get (metrics, "/v1/status");
   ck_assert_ptr_nonnull (strstr (status, "\"host\":\"h1\""));
   ck_assert_ptr_nonnull (strstr (status, "\"ready\":true"));
   ck_assert_ptr_nonnull (strstr (status, "\"store_reached\":true"));
-  const char *topology = http_get (metrics_port, "/v1/topology");
+  const char *topology = http_get (metrics, "/v1/topology");
   ck_assert_ptr_nonnull (strstr (topology, "\"name\":\"i-0\""));
   ck_assert_ptr_nonnull (strstr (topology, "\"gateways\":[\"h1\"]"));
-  const char *why = http_get (metrics_port, "/v1/explain?database=ledger");
+  const char *why = http_get (metrics, "/v1/explain?database=ledger");
   ck_assert_ptr_nonnull (strstr (why, "\"primary\":\"i-0\""));
   ck_assert_ptr_nonnull (strstr (why, "\"why\":\""));
   ck_assert_ptr_nonnull (
-      strstr (http_get (metrics_port, "/v1/explain?database=none"), " 404 "));
-  ck_assert_ptr_nonnull (
-      strstr (http_get (metrics_port, "/v1/explain"), " 400 "));
-  ck_assert_ptr_nonnull (strstr (http_get (metrics_port, "/metrics"),
+      strstr (http_get (metrics, "/v1/explain?database=none"), " 404 "));
+  ck_assert_ptr_nonnull (strstr (http_get (metrics, "/v1/explain"), " 400 "));
+  ck_assert_ptr_nonnull (strstr (http_get (metrics, "/metrics"),
                                  "savoryway_statement_ms_bucket{"));
 }
 
@@ -249,7 +249,7 @@
 
 UNIT_TEST (test_unknown_database_is_refused)
 {
-  int fd = connect_to (caller_port);
+  int fd = connect_to (callers);
   send_text (fd, "STARTUP nowhere u1\r\n");
   ck_assert_str_eq (read_until (fd, "READY"), "ERROR NODB nowhere\r\n");
   close (fd);
@@ -260,10 +260,10 @@
   struct pollfd poll_fd = { .events = POLLIN };
   unsigned unused_port = free_port ();
   start_host (unused_port, unused_port);
-  poll_fd.fd = connect_to (caller_port);
+  poll_fd.fd = connect_to (callers);
   send_text (poll_fd.fd, "STARTUP ledger u1\r\n");
   ck_assert_int_eq (poll (&poll_fd, 1, 700), 0);
-  ck_assert_ptr_null (strstr (http_get (ready_port, "/readyz"), " 200 "));
+  ck_assert_ptr_null (strstr (http_get (ready, "/readyz"), " 200 "));
   close (poll_fd.fd);
   stop_host ();
 }
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -155,46 +155,46 @@
 }
 
 static struct kv_response
-store_answer (enum platform_call_kind kind, int code, const char *body)
+store_response (enum platform_call_kind kind, int code, const char *body)
 {
-  struct kv_response answer;
-  store_codec.parse (&answer, kind, code, NULL, body, strlen (body));
-  return answer;
+  struct kv_response response;
+  store_codec.parse (&response, kind, code, NULL, body, strlen (body));
+  return response;
 }
 
 UNIT_PLAIN (test_watch_returns_changes_and_removals)
 {
-  struct kv_response answer = store_answer (
+  struct kv_response response = store_response (
       PLATFORM_WATCH, 200,
       "{\"events\":[{\"key\":\"my/leader\",\"value\":\"bm9kZS0x\","
       "\"revision\":412,\"created\":400,\"lease\":7},"
       "{\"key\":5},{\"key\":\"my/old\",\"revision\":413,\"removed\":true}],"
       "\"as_of\":413}");
-  ck_assert_int_eq (answer.reply.status, PLATFORM_OK);
-  ck_assert_uint_eq (answer.reply.item_count, 2);
-  ck_assert_str_eq (answer.items[0].value, "node-1");
-  ck_assert_uint_eq (answer.items[0].created, 400);
-  ck_assert (answer.items[1].removed);
-  kv_response_clear (&answer);
-  answer = store_answer (PLATFORM_WATCH, 410, "{}");
-  ck_assert_int_eq (answer.reply.status, PLATFORM_COMPACTED);
+  ck_assert_int_eq (response.reply.status, PLATFORM_OK);
+  ck_assert_uint_eq (response.reply.item_count, 2);
+  ck_assert_str_eq (response.items[0].value, "node-1");
+  ck_assert_uint_eq (response.items[0].created, 400);
+  ck_assert (response.items[1].removed);
+  kv_response_clear (&response);
+  response = store_response (PLATFORM_WATCH, 410, "{}");
+  ck_assert_int_eq (response.reply.status, PLATFORM_COMPACTED);
 }
 
 UNIT_PLAIN (test_distinguishes_lost_and_refused_store_calls)
 {
-  ck_assert_int_eq (store_answer (PLATFORM_WRITE, 503, "").reply.status,
+  ck_assert_int_eq (store_response (PLATFORM_WRITE, 503, "").reply.status,
                     PLATFORM_UNAVAILABLE);
-  ck_assert_int_eq (store_answer (PLATFORM_WRITE, 500, "").reply.status,
+  ck_assert_int_eq (store_response (PLATFORM_WRITE, 500, "").reply.status,
                     PLATFORM_LOST);
-  ck_assert_int_eq (store_answer (PLATFORM_WRITE, 200, "cut").reply.status,
+  ck_assert_int_eq (store_response (PLATFORM_WRITE, 200, "cut").reply.status,
                     PLATFORM_LOST);
-  ck_assert_int_eq (store_answer (PLATFORM_WRITE, 412, "{}").reply.status,
+  ck_assert_int_eq (store_response (PLATFORM_WRITE, 412, "{}").reply.status,
                     PLATFORM_CONFLICT);
-  ck_assert_int_eq (store_answer (PLATFORM_RENEW, 404, "").reply.status,
+  ck_assert_int_eq (store_response (PLATFORM_RENEW, 404, "").reply.status,
                     PLATFORM_NOT_FOUND);
-  ck_assert_int_eq (store_answer (PLATFORM_LIST, 200, "[]").reply.status,
+  ck_assert_int_eq (store_response (PLATFORM_LIST, 200, "[]").reply.status,
                     PLATFORM_UNAVAILABLE);
-  ck_assert_int_eq (store_answer (PLATFORM_LIST, 429, "").reply.status,
+  ck_assert_int_eq (store_response (PLATFORM_LIST, 429, "").reply.status,
                     PLATFORM_UNAVAILABLE);
 }
 
