--- a/src/core/acks.c
+++ b/src/core/acks.c
@@ -37,7 +37,7 @@
 }
 
 static bool
-has_moved (const struct ack_wait *wait, const struct db_report *report)
+has_term_changed (const struct ack_wait *wait, const struct db_report *report)
 {
   if (wait->kind == ACK_REPLAYED)
     return false;
@@ -47,15 +47,15 @@
 }
 
 static void
-end (struct acks *acks, struct ack_wait *wait, enum ack_result result)
+complete (struct acks *acks, struct ack_wait *wait, enum ack_result result)
 {
   acks_remove (acks, wait);
   wait->done (wait, result);
 }
 
 static void
-note_progress (struct acks *acks, const struct db_report *report,
-               clk_ms now_ms)
+update_progress (struct acks *acks, const struct db_report *report,
+                 clk_ms now_ms)
 {
   bool advanced = report->confirmed_lsn > acks->confirmed_lsn;
   bool all_confirmed = report->confirmed_lsn >= report->received_lsn;
@@ -72,13 +72,13 @@
   struct ack_wait *wait, *next;
   if (report->term == 0)
     return;
-  note_progress (acks, report, now_ms);
+  update_progress (acks, report, now_ms);
   DL_FOREACH_SAFE (acks->waits, wait, next)
   {
     if (acks_reached (wait, report))
-      end (acks, wait, ACK_REACHED);
-    else if (has_moved (wait, report))
-      end (acks, wait, ACK_TERM_MOVED);
+      complete (acks, wait, ACK_REACHED);
+    else if (has_term_changed (wait, report))
+      complete (acks, wait, ACK_TERM_MOVED);
   }
 }
 
@@ -89,7 +89,7 @@
   DL_FOREACH_SAFE (acks->waits, wait, next)
   {
     if (now_ms >= wait->deadline_ms)
-      end (acks, wait, ACK_TIMEOUT);
+      complete (acks, wait, ACK_TIMEOUT);
   }
 }
 
--- a/src/core/acks.h
+++ b/src/core/acks.h
@@ -1,9 +1,9 @@
-/* acks - what waits for positions of an instance.
+/* acks - queue of requests that wait for a log position of an instance.
 
-   A committed write waits until the primary reports that a replica of its
-   term has received the write; a read waits until a replica has replayed
-   what its session has seen.  The owner feeds reports of the instance in and
-   polls for them while something waits.  */
+   A committed write waits until the primary reports that a replica of the
+   same term has received it.  A read waits until a replica has replayed the
+   position of its session.  The owner polls the instance while the queue is
+   not empty, and passes each report to acks_observe.  */
 
 #ifndef SAVORYWAY_CORE_ACKS_H
 #define SAVORYWAY_CORE_ACKS_H
@@ -11,18 +11,19 @@
 #include "kernel/clock.h"
 #include "port/db_port.h"
 
+/* Maximum number of requests that wait for one instance.  */
 #define ACKS_LIMIT 4096
 
 enum ack_kind
 {
-  ACK_CONFIRMED, /* position received by a replica of the same term */
-  ACK_REPLAYED   /* position visible to reads */
+  ACK_CONFIRMED, /* a replica of the same term has received it */
+  ACK_REPLAYED   /* it is visible to reads on the instance */
 };
 
 enum ack_result
 {
   ACK_REACHED,
-  ACK_TERM_MOVED, /* the instance is no longer primary of that term */
+  ACK_TERM_MOVED, /* the instance is not primary of that term any more */
   ACK_TIMEOUT
 };
 
@@ -40,31 +41,36 @@
 {
   struct ack_wait *waits;
   size_t count;
-  uint64_t term; /* of the latest report */
+  uint64_t term; /* term in the latest report */
   uint64_t confirmed_lsn;
-  clk_ms progress_ms; /* when a replica was last seen to keep up */
+  clk_ms progress_ms; /* last report in which confirmed_lsn advanced, or
+                         all log was confirmed */
 };
 
 void acks_init (struct acks *acks, clk_ms now_ms);
 
-/* Adds WAIT, which the caller keeps until done; false if there are too
-   many.  */
+/* Adds WAIT, which the caller owns and which must exist until DONE is called
+   or it is removed.  Returns false if ACKS_LIMIT is reached.  */
 bool acks_add (struct acks *acks, struct ack_wait *wait);
+
+/* Removes WAIT without calling DONE.  */
 void acks_remove (struct acks *acks, struct ack_wait *wait);
 
-/* Whether REPORT shows WAIT as reached.  */
+/* Returns whether REPORT shows that the position of WAIT is reached.  */
 bool acks_reached (const struct ack_wait *wait,
                    const struct db_report *report);
 
-/* Takes in a report of the instance and ends the waits that it decides.  */
+/* Processes a report of the instance: completes the waits whose position is
+   reached, or can't be reached any more since the term has changed.  */
 void acks_observe (struct acks *acks, const struct db_report *report,
                    clk_ms now_ms);
 
-/* Ends the waits whose deadline has passed.  */
+/* Completes the waits whose deadline has passed with ACK_TIMEOUT.  */
 void acks_expire (struct acks *acks, clk_ms now_ms);
 
-/* How long the primary has had log that no replica confirms; 0 if all is
-   confirmed.  */
+/* Returns for how long no replica has confirmed more of the primary's log
+   although some is unconfirmed.  While all is confirmed, that is the time
+   since the latest report.  */
 clk_ms acks_stalled_ms (const struct acks *acks, clk_ms now_ms);
 
 #endif
--- a/src/core/coordinators.c
+++ b/src/core/coordinators.c
@@ -6,15 +6,15 @@
 
 #include "kernel/mem.h"
 
-/* Look-ups in one step.  */
-#define BATCH 100
+/* Bounds the time that one step takes.  */
+#define LOOKUPS_PER_STEP 100
 
 #define KEY_BYTES ((size_t)PATH_BYTES + sizeof "failover/")
 
 struct placement
 {
   char *database;
-  uint64_t hosts[COORDINATORS]; /* hashes, 0 for none */
+  uint64_t hosts[COORDINATOR_COUNT]; /* members_hash; 0 for none */
   size_t rank;
   bool due;
   bool seen;
@@ -50,7 +50,7 @@
 }
 
 static void
-drop (struct coordinators *c, struct placement *placement)
+remove_placement (struct coordinators *c, struct placement *placement)
 {
   set_due (c, placement, false);
   HASH_DEL (c->placements, placement);
@@ -64,12 +64,15 @@
   struct placement *placement, *next;
   if (c == NULL)
     return;
-  HASH_ITER (hh, c->placements, placement, next) { drop (c, placement); }
+  HASH_ITER (hh, c->placements, placement, next)
+  {
+    remove_placement (c, placement);
+  }
   free (c);
 }
 
 static struct placement *
-get (struct coordinators *c, const char *database)
+get_placement (struct coordinators *c, const char *database)
 {
   struct placement *placement = NULL;
   size_t length = strlen (database);
@@ -87,14 +90,15 @@
 static void
 look_up (struct coordinators *c, struct placement *placement)
 {
-  const struct member *hosts[COORDINATORS];
+  const struct member *hosts[COORDINATOR_COUNT];
   const struct member *self = members_self (c->members);
   char key[KEY_BYTES];
   snprintf (key, sizeof key, "failover/%s", placement->database);
-  size_t count = members_place_spread (c->members, key, hosts, COORDINATORS);
+  size_t count
+      = members_place_spread (c->members, key, hosts, COORDINATOR_COUNT);
   set_due (c, placement, false);
   placement->rank = COORDINATORS_NO_RANK;
-  for (size_t i = 0; i < COORDINATORS; i++)
+  for (size_t i = 0; i < COORDINATOR_COUNT; i++)
     {
       placement->hosts[i] = i < count ? members_hash (hosts[i]) : 0;
       if (i < count && hosts[i] == self)
@@ -102,19 +106,20 @@
     }
 }
 
-/* Finds databases that are new or gone.  */
+/* Adds the databases that are new in the view, and removes those that are not
+   in it any more.  */
 static void
-follow_view (struct coordinators *c,
-             void (*fn) (void *arg, struct view_database *database,
-                         size_t rank),
-             void *arg)
+apply_view (struct coordinators *c,
+            void (*fn) (void *arg, struct view_database *database,
+                        size_t rank),
+            void *arg)
 {
   struct placement *placement, *next;
   for (placement = c->placements; placement; placement = placement->hh.next)
     placement->seen = false;
   for (struct view_database *d = view_databases (c->view); d; d = d->hh.next)
     {
-      placement = get (c, d->name);
+      placement = get_placement (c, d->name);
       placement->seen = true;
       if (!placement->due && placement->rank != COORDINATORS_NO_RANK)
         fn (arg, d, placement->rank);
@@ -122,7 +127,7 @@
   HASH_ITER (hh, c->placements, placement, next)
   {
     if (!placement->seen)
-      drop (c, placement);
+      remove_placement (c, placement);
   }
 }
 
@@ -133,22 +138,23 @@
   if (placement->rank != COORDINATORS_NO_RANK)
     return true;
   for (size_t i = 0; i < count; i++)
-    for (size_t j = 0; j < COORDINATORS; j++)
+    for (size_t j = 0; j < COORDINATOR_COUNT; j++)
       if (placement->hosts[j] == hosts[i])
         return true;
   return false;
 }
 
-/* While the coordinators that were found are all there, this host can't
-   become one, however many better hosts came; so only the databases of hosts
-   that changed, and those of this host, are looked up again.  */
+/* Marks the databases that a change of members affects for look-up.  While all
+   coordinators of a database are unchanged, added hosts can only push this
+   host further back in the order.  So it is enough to look up the databases
+   whose coordinators changed, and those that this host coordinates.  */
 static void
-follow_members (struct coordinators *c, uint64_t generation)
+apply_member_changes (struct coordinators *c, uint64_t generation)
 {
   uint64_t hosts[MEMBERS_CHANGES];
   size_t count;
-  bool all
-      = !members_changed (c->members, c->members_generation, hosts, &count);
+  bool all = !members_changes_since (c->members, c->members_generation, hosts,
+                                     &count);
   c->members_generation = generation;
   for (struct placement *p = c->placements; p != NULL; p = p->hh.next)
     if (all || is_affected (p, hosts, count))
@@ -164,11 +170,11 @@
   uint64_t hosts = members_generation (c->members);
   uint64_t view = view_generation (c->view);
   if (hosts != c->members_generation)
-    follow_members (c, hosts);
+    apply_member_changes (c, hosts);
   if (view != c->view_generation)
-    follow_view (c, fn, arg);
+    apply_view (c, fn, arg);
   c->view_generation = view;
-  size_t left = BATCH;
+  size_t left = LOOKUPS_PER_STEP;
   for (struct placement *p = c->placements; p != NULL && c->due > 0;
        p = p->hh.next)
     {
--- a/src/core/coordinators.h
+++ b/src/core/coordinators.h
@@ -1,8 +1,9 @@
-/* coordinators - which databases this host coordinates.
+/* coordinators - cache of the coordinators of every database.
 
-   Remembers the coordinators of every database, and looks them up again only
-   where a change of hosts can have changed them: with 6,600 databases before
-   4,100 hosts, to place all anew takes a quarter of a second.  */
+   The coordinators are found by rendezvous hashing over all hosts.  They are
+   looked up again only for databases that a change of hosts can affect, and
+   in small steps: a look-up of 6,600 databases over 4,100 hosts takes a
+   quarter of a second.  */
 
 #ifndef SAVORYWAY_CORE_COORDINATORS_H
 #define SAVORYWAY_CORE_COORDINATORS_H
@@ -10,9 +11,10 @@
 #include "core/members.h"
 #include "core/view.h"
 
-#define COORDINATORS 3
+/* Coordinators of one database.  */
+#define COORDINATOR_COUNT 3
 
-/* Rank of a host that is no coordinator.  */
+/* Rank of a host that is not a coordinator.  */
 #define COORDINATORS_NO_RANK SIZE_MAX
 
 struct coordinators;
@@ -21,15 +23,16 @@
                                        struct view *view);
 void coordinators_free (struct coordinators *coordinators);
 
-/* Does a share of the look-ups that are due.  Calls FN for each database that
-   was looked up, and, when the view has changed, for each that this host
-   coordinates.  RANK is this host's, from 0.  */
+/* Does a limited number of the pending look-ups.  Calls FN for each database
+   that was looked up, and, when the view has changed, for each that this host
+   is a coordinator of.  RANK is the rank of this host among the coordinators,
+   from 0, or COORDINATORS_NO_RANK.  */
 void coordinators_step (struct coordinators *coordinators,
                         void (*fn) (void *arg, struct view_database *database,
                                     size_t rank),
                         void *arg);
 
-/* Number of look-ups that are due.  */
+/* Returns the number of pending look-ups.  */
 size_t coordinators_due (const struct coordinators *coordinators);
 
 #endif
--- a/src/core/failover.c
+++ b/src/core/failover.c
@@ -5,114 +5,119 @@
 #include <string.h>
 
 #include "core/coordinators.h"
-#include "core/guard.h"
+#include "core/monitor.h"
 #include "core/viewmod.h"
 #include "kernel/mem.h"
 
-#define TICK_MS 100
+/* Interval of the module's timer.  */
+#define STEP_INTERVAL_MS 100
 
-/* Probes of primaries that one host sends, and their least interval.  */
+/* Limit on the rate at which one host probes all its primaries, and the
+   minimum interval between probes of one.  */
 #define PROBES_PER_S 4
 #define PROBE_MIN_MS 500
 
-/* A host that is not a coordinator keeps a guard this long after it was
-   asked or given an order.  */
-#define GUEST_MS 15000
+/* How long a host that is not a coordinator keeps a monitor after another host
+   queried it or an operator's request used it.  */
+#define TEMPORARY_MONITOR_MS 15000
 
 struct failover
 {
   struct module base;
-  struct guard_env env;
-  struct guard *guards;
-  size_t coordinated; /* of the guards, those as a coordinator */
+  struct monitor_env env;
+  struct monitor *monitors;
+  size_t coordinated; /* number of monitors with a rank */
   struct ktimer tick;
   struct coordinators *coordinators;
 };
 
-static struct guard *
-find_guard (struct failover *failover, const char *database)
+static struct monitor *
+find_monitor (struct failover *failover, const char *database)
 {
-  struct guard *guard = NULL;
-  HASH_FIND_STR (failover->guards, database, guard);
-  return guard;
+  struct monitor *monitor = NULL;
+  HASH_FIND_STR (failover->monitors, database, monitor);
+  return monitor;
 }
 
-static struct guard *
-add_guard (struct failover *failover, const struct view_database *database)
+static struct monitor *
+add_monitor (struct failover *failover, const struct view_database *database)
 {
-  struct guard *guard = guard_new (&failover->env, database);
-  guard->rank = GUARD_NO_RANK;
-  HASH_ADD_STR (failover->guards, database, guard);
-  return guard;
+  struct monitor *monitor = monitor_new (&failover->env, database);
+  monitor->rank = MONITOR_NO_RANK;
+  HASH_ADD_STR (failover->monitors, database, monitor);
+  return monitor;
 }
 
 static void
-drop_guard (struct failover *failover, struct guard *guard)
+remove_monitor (struct failover *failover, struct monitor *monitor)
 {
-  HASH_DEL (failover->guards, guard);
-  guard_free (guard);
+  HASH_DEL (failover->monitors, monitor);
+  monitor_free (monitor);
 }
 
-/* Returns the guard of a database in the view, made for a while if this host
-   is no coordinator of it; NULL if there is no such database.  */
-static struct guard *
-guest_guard (struct failover *failover, const char *name)
+/* Returns the monitor of the database NAME, or NULL if it is not in the view.
+   Creates a temporary one if this host is not a coordinator of it.  */
+static struct monitor *
+find_or_add_monitor (struct failover *failover, const char *name)
 {
-  struct guard *guard = find_guard (failover, name);
+  struct monitor *monitor = find_monitor (failover, name);
   struct view_database *database = view_database (failover->env.view, name);
   if (database == NULL)
     return NULL;
-  if (guard == NULL)
-    guard = add_guard (failover, database);
-  if (guard->rank == GUARD_NO_RANK)
-    guard->expires_ms = kernel_now (failover->base.kernel) + GUEST_MS;
-  return guard;
+  if (monitor == NULL)
+    monitor = add_monitor (failover, database);
+  if (monitor->rank == MONITOR_NO_RANK)
+    monitor->expires_ms
+        = kernel_now (failover->base.kernel) + TEMPORARY_MONITOR_MS;
+  return monitor;
 }
 
 static void
-set_rank (struct failover *failover, struct guard *guard, size_t rank)
+set_rank (struct failover *failover, struct monitor *monitor, size_t rank)
 {
-  if (rank == guard->rank)
+  if (rank == monitor->rank)
     return;
   log_event (kernel_log (failover->base.kernel), LOG_INFO, "coordinator",
-             LOG_S ("database", guard->database),
+             LOG_S ("database", monitor->database),
              LOG_I ("rank", (int64_t)rank),
-             LOG_I ("was", (int64_t)guard->rank),
+             LOG_I ("was", (int64_t)monitor->rank),
              LOG_U ("hosts", members_count (failover->env.members)));
-  guard->rank = rank;
-  guard->expires_ms
-      = rank == GUARD_NO_RANK ? kernel_now (failover->base.kernel) : CLK_NEVER;
+  monitor->rank = rank;
+  monitor->expires_ms = rank == MONITOR_NO_RANK
+                            ? kernel_now (failover->base.kernel)
+                            : CLK_NEVER;
 }
 
 static void
-coordinate (void *arg, struct view_database *database, size_t rank)
+update_rank (void *arg, struct view_database *database, size_t rank)
 {
   struct failover *failover = arg;
-  struct guard *guard = find_guard (failover, database->name);
-  if (guard == NULL && rank == GUARD_NO_RANK)
+  struct monitor *monitor = find_monitor (failover, database->name);
+  if (monitor == NULL && rank == MONITOR_NO_RANK)
     return;
-  if (guard == NULL)
-    guard = add_guard (failover, database);
-  guard_update (guard, database);
-  set_rank (failover, guard, rank);
+  if (monitor == NULL)
+    monitor = add_monitor (failover, database);
+  monitor_update (monitor, database);
+  set_rank (failover, monitor, rank);
 }
 
-/* Drops guards that have expired or whose database is gone, and spreads the
-   probes over those that are left.  */
+/* Removes monitors that have expired or whose database was removed, and adapts
+   the probe interval to the number of those that are left.  */
 static void
-sweep (struct failover *failover)
+remove_expired (struct failover *failover)
 {
   clk_ms now_ms = kernel_now (failover->base.kernel);
-  struct guard *guard, *next;
+  struct monitor *monitor, *next;
   failover->coordinated = 0;
-  HASH_ITER (hh, failover->guards, guard, next)
+  HASH_ITER (hh, failover->monitors, monitor, next)
   {
-    bool gone = view_database (failover->env.view, guard->database) == NULL;
-    bool idle = guard->promotion.phase == PROMOTION_NONE;
-    if (gone || (idle && now_ms >= guard->expires_ms))
-      drop_guard (failover, guard);
+    bool is_unknown
+        = view_database (failover->env.view, monitor->database) == NULL;
+    bool is_idle = monitor->promotion.phase == PROMOTION_NONE;
+    if (is_unknown || (is_idle && now_ms >= monitor->expires_ms))
+      remove_monitor (failover, monitor);
     else
-      failover->coordinated += guard->rank != GUARD_NO_RANK;
+      failover->coordinated += monitor->rank != MONITOR_NO_RANK;
   }
   clk_ms probe_ms = (clk_ms)failover->coordinated * 1000 / PROBES_PER_S;
   failover->env.probe_ms = probe_ms > PROBE_MIN_MS ? probe_ms : PROBE_MIN_MS;
@@ -123,43 +128,45 @@
 {
   struct failover *failover = arg;
   struct kernel *kernel = failover->base.kernel;
-  /* Before it knows the others, a host would coordinate everything.  */
+  /* Until the list of hosts is received, this host would be a coordinator of
+     every database.  */
   if (sync_ready (failover->env.sync))
-    coordinators_step (failover->coordinators, coordinate, failover);
-  sweep (failover);
-  kernel_timer_set (kernel, &failover->tick, kernel_now (kernel) + TICK_MS);
+    coordinators_step (failover->coordinators, update_rank, failover);
+  remove_expired (failover);
+  kernel_timer_set (kernel, &failover->tick,
+                    kernel_now (kernel) + STEP_INTERVAL_MS);
 }
 
 static void
 term_changed (void *arg, const char *database,
               const struct term_record *record)
 {
-  struct guard *guard = find_guard (arg, database);
+  struct monitor *monitor = find_monitor (arg, database);
   (void)record;
-  if (guard != NULL)
-    guard_record_changed (guard);
+  if (monitor != NULL)
+    monitor_record_changed (monitor);
 }
 
 static void
 handle_suspicion (void *arg, uint64_t call, const peer_message *message)
 {
   struct failover *failover = arg;
-  const peer_suspicion *asked = &message->body.peer_body_u.suspicion;
-  struct guard *guard = guest_guard (failover, asked->database);
+  const peer_suspicion *question = &message->body.peer_body_u.suspicion;
+  struct monitor *monitor = find_or_add_monitor (failover, question->database);
   const struct term_record *record
-      = terms_get (failover->env.terms, asked->database);
+      = terms_get (failover->env.terms, question->database);
   peer_body body = { .kind = PEER_KIND_SUSPICION };
   peer_suspicion *answer = &body.peer_body_u.suspicion;
-  answer->database = asked->database;
+  answer->database = question->database;
   if (record != NULL)
     {
       answer->term = record->term;
       answer->primary = (char *)record->primary;
     }
-  if (guard != NULL)
+  if (monitor != NULL)
     {
-      guard_hear (guard, message);
-      answer->suspected = guard->suspected;
+      monitor_receive (monitor, message);
+      answer->suspected = monitor->suspected;
     }
   peers_reply (failover->env.peers, call, &body);
 }
@@ -169,7 +176,7 @@
 {
   struct failover *failover = (struct failover *)module;
   struct kernel *kernel = module->kernel;
-  struct guard_env *env = &failover->env;
+  struct monitor_env *env = &failover->env;
   env->kernel = kernel;
   env->view = viewmod_get (kernel);
   env->members = (struct members *)kernel_find (kernel, "members");
@@ -189,10 +196,10 @@
 failover_free (struct module *module)
 {
   struct failover *failover = (struct failover *)module;
-  struct guard *guard, *next;
-  HASH_ITER (hh, failover->guards, guard, next)
+  struct monitor *monitor, *next;
+  HASH_ITER (hh, failover->monitors, monitor, next)
   {
-    drop_guard (failover, guard);
+    remove_monitor (failover, monitor);
   }
   coordinators_free (failover->coordinators);
   kernel_timer_cancel (module->kernel, &failover->tick);
@@ -219,8 +226,9 @@
   return &failover->base;
 }
 
-/* An order that can't begin is answered outside of the call.  */
-struct refusal
+/* Error of a request that could not be started.  It is delivered later, as
+   DONE must not be called from within the request.  */
+struct deferred_error
 {
   failover_done done;
   void *arg;
@@ -228,63 +236,63 @@
 };
 
 static void
-deliver_refusal (void *arg)
+deliver_error (void *arg)
 {
-  struct refusal *refusal = arg;
-  failover_done done = refusal->done;
-  void *done_arg = refusal->arg;
-  const char *message = refusal->message;
-  free (refusal);
+  struct deferred_error *deferred_error = arg;
+  failover_done done = deferred_error->done;
+  void *done_arg = deferred_error->arg;
+  const char *message = deferred_error->message;
+  free (deferred_error);
   done (done_arg, false, message);
 }
 
 static void
-refuse (struct failover *failover, failover_done done, void *arg,
-        const char *message)
+defer_error (struct failover *failover, failover_done done, void *arg,
+             const char *message)
 {
-  struct refusal *refusal = mem_zalloc (sizeof *refusal);
-  refusal->done = done;
-  refusal->arg = arg;
-  refusal->message = message;
-  kernel_defer (failover->base.kernel, deliver_refusal, refusal);
+  struct deferred_error *deferred_error = mem_zalloc (sizeof *deferred_error);
+  deferred_error->done = done;
+  deferred_error->arg = arg;
+  deferred_error->message = message;
+  kernel_defer (failover->base.kernel, deliver_error, deferred_error);
 }
 
 void
 failover_order (struct failover *failover, const char *database,
                 const char *target, failover_done done, void *arg)
 {
-  struct guard *guard = guest_guard (failover, database);
-  const char *error = guard == NULL
+  struct monitor *monitor = find_or_add_monitor (failover, database);
+  const char *error = monitor == NULL
                           ? "no such database"
-                          : promotion_order (guard, target, done, arg);
+                          : promotion_switch_over (monitor, target, done, arg);
   if (error != NULL)
-    refuse (failover, done, arg, error);
+    defer_error (failover, done, arg, error);
 }
 
 void
 failover_hold (struct failover *failover, const char *database, bool hold,
                failover_done done, void *arg)
 {
-  struct guard *guard = guest_guard (failover, database);
-  const char *error = guard == NULL
+  struct monitor *monitor = find_or_add_monitor (failover, database);
+  const char *error = monitor == NULL
                           ? "no such database"
-                          : promotion_set_hold (guard, hold, done, arg);
+                          : promotion_set_hold (monitor, hold, done, arg);
   if (error != NULL)
-    refuse (failover, done, arg, error);
+    defer_error (failover, done, arg, error);
 }
 
 static json_t *
-guard_status (const struct guard *guard)
+monitor_status (const struct monitor *monitor)
 {
-  const struct term_record *record = guard_record (guard);
-  const struct promotion *p = &guard->promotion;
+  const struct term_record *record = monitor_record (monitor);
+  const struct promotion *p = &monitor->promotion;
   return json_pack (
       "{s:s, s:I, s:s, s:s, s:b, s:i, s:b, s:b, s:s, s:b}", "database",
-      guard->database, "term", record ? (json_int_t)record->term : 0, "state",
-      record ? term_state_name (record->state) : "unknown", "primary",
+      monitor->database, "term", record ? (json_int_t)record->term : 0,
+      "state", record ? term_state_name (record->state) : "unknown", "primary",
       record ? record->primary : "", "hold", record ? record->hold : 0, "rank",
-      (int)guard->rank, "suspected", guard->suspected, "confirmed",
-      guard->confirmed, "promotion", promotion_phase_name (p->phase),
+      (int)monitor->rank, "suspected", monitor->suspected, "confirmed",
+      monitor->confirmed, "promotion", promotion_phase_name (p->phase),
       "waits_for_platform", p->platform_down);
 }
 
@@ -292,15 +300,15 @@
 failover_status (struct failover *failover)
 {
   json_t *root = json_array ();
-  for (struct guard *g = failover->guards; g != NULL; g = g->hh.next)
-    json_array_append_new (root, guard_status (g));
+  for (struct monitor *m = failover->monitors; m != NULL; m = m->hh.next)
+    json_array_append_new (root, monitor_status (m));
   char *text = json_dumps (root, JSON_COMPACT);
   json_decref (root);
   return text;
 }
 
 size_t
-failover_guards (const struct failover *failover)
+failover_coordinated_count (const struct failover *failover)
 {
   return failover->coordinated;
 }
--- a/src/core/failover.h
+++ b/src/core/failover.h
@@ -1,10 +1,10 @@
-/* failover - keeps a primary for each database.
+/* failover - detects failed primaries and promotes replicas in their place.
 
-   The first three hosts in rendezvous order of "failover/DATABASE", in
-   different failure domains, are its coordinators.  Each probes the
-   instances; a primary that coordinators of two failure domains can't reach
-   is replaced (see promotion.h).  While the platform is down nothing is
-   promoted.
+   The coordinators of a database are the first three hosts in rendezvous
+   order of "failover/DATABASE", in different failure domains.  Each of them
+   probes the instances (see monitor.h).  A primary that hosts of two failure
+   domains can't reach is replaced (see promotion.h).  No promotion starts
+   while the platform is unavailable, as it decides between coordinators.
 
    Module name: "failover".  */
 
@@ -21,26 +21,28 @@
                                struct platform_port *platform);
 struct module *failover_module (struct failover *failover);
 
-/* OK is false if the order was not carried out; MESSAGE says why.  */
+/* Called when a request has ended.  MESSAGE is the reason if OK is false.  */
 typedef void (*failover_done) (void *arg, bool ok, const char *message);
 
-/* Moves the primary of DATABASE to the instance TARGET, both global names,
-   or to any other instance that has all writes if TARGET is NULL.  Any host
-   may be asked.  Running writes finish first; DONE is called once, never
-   from within this call.  */
+/* Starts a planned switch-over of DATABASE to the instance TARGET (both are
+   global names), or to any other instance that has all writes if TARGET is
+   NULL.  Works on every host.  Writes in progress finish first.  DONE is
+   called once, never from within this call.  */
 void failover_order (struct failover *failover, const char *database,
                      const char *target, failover_done done, void *arg);
 
-/* Forbids (HOLD) or allows promotions of DATABASE that nobody ordered.  The
-   ban is part of the term record, so that it holds for all hosts.  */
+/* Forbids (HOLD is true) or allows automatic promotions of DATABASE; planned
+   switch-overs stay possible.  The ban is part of the term record, so it
+   applies to all hosts.  DONE is called once, never from within this
+   call.  */
 void failover_hold (struct failover *failover, const char *database, bool hold,
                     failover_done done, void *arg);
 
-/* Returns what this host coordinates, as a JSON array; the caller frees
-   it.  */
+/* Returns the state of all databases that this host monitors, as a JSON
+   array; the caller frees it.  */
 char *failover_status (struct failover *failover);
 
-/* How many databases this host is a coordinator of.  */
-size_t failover_guards (const struct failover *failover);
+/* Returns the number of databases that this host is a coordinator of.  */
+size_t failover_coordinated_count (const struct failover *failover);
 
 #endif
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -8,15 +8,15 @@
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
-/* Failed calls in a row, or time of nothing but failed calls, after which a
-   host is suspected.  */
-#define SUSPECT_FAILURES 3
-#define SUSPECT_SILENCE_MS 1000
+/* A host is suspected after this number of consecutive failed calls, or if
+   calls have failed for this time without an answer in between.  */
+#define SUSPICION_FAILURES 3
+#define SUSPICION_FAILING_MS 1000
 
-/* A suspicion lapses after this span, doubled each time the host fails
-   again without an answer in between.  */
-#define SUSPECT_LAPSE_MIN_MS 2000
-#define SUSPECT_LAPSE_MAX_MS 32000
+/* Duration of a suspicion.  It doubles with each further suspicion without an
+   answer in between (exponential backoff).  */
+#define SUSPICION_MIN_MS 2000
+#define SUSPICION_MAX_MS 32000
 
 struct entry_list
 {
@@ -30,13 +30,13 @@
   uint64_t hash;
   struct members *owner;
   struct host_domain *domain;
-  uint64_t seen_index;
+  uint64_t list_seen;
   uint32_t failures;
   clk_ms failing_since_ms;
-  clk_ms lapse_ms;
-  struct ktimer lapse_timer;
-  bool listed_leaving; /* the platform says so */
-  bool marked_leaving; /* the host itself says so */
+  clk_ms suspicion_ms;
+  struct ktimer suspicion_timer;
+  bool listed_leaving; /* in the platform's list */
+  bool marked_leaving; /* announced by the host itself */
   UT_hash_handle hh;
 };
 
@@ -58,7 +58,8 @@
   uint64_t index;
   uint64_t list_number;
   uint64_t generation;
-  uint64_t changes[MEMBERS_CHANGES]; /* hash of each change, by generation */
+  uint64_t changes[MEMBERS_CHANGES]; /* ring buffer by generation:
+                                        hash of the changed host */
 };
 
 static void
@@ -70,7 +71,7 @@
 }
 
 static void
-note_change (struct host_entry *entry)
+record_change (struct host_entry *entry)
 {
   struct members *members = entry->owner;
   members->changes[members->generation % MEMBERS_CHANGES] = entry->hash;
@@ -78,13 +79,14 @@
 }
 
 static void
-suspicion_lapsed (void *arg)
+suspicion_expired (void *arg)
 {
   struct host_entry *entry = arg;
   entry->member.suspected = false;
-  entry->failures = SUSPECT_FAILURES - 1;
+  /* One more failure renews the suspicion.  */
+  entry->failures = SUSPICION_FAILURES - 1;
   entry->failing_since_ms = kernel_now (entry->owner->base.kernel);
-  note_change (entry);
+  record_change (entry);
   log_event (kernel_log (entry->owner->base.kernel), LOG_INFO, "host_retry",
              LOG_S ("host", entry->member.address.name));
 }
@@ -97,8 +99,8 @@
   entry->hash = XXH3_64bits (entry->member.address.name,
                              strlen (entry->member.address.name));
   entry->owner = members;
-  entry->lapse_timer.fire = suspicion_lapsed;
-  entry->lapse_timer.arg = entry;
+  entry->suspicion_timer.fire = suspicion_expired;
+  entry->suspicion_timer.arg = entry;
   HASH_ADD_STR (members->by_name, member.address.name, entry);
   return entry;
 }
@@ -106,10 +108,10 @@
 static void
 entry_free (struct members *members, struct host_entry *entry)
 {
-  note_change (entry);
+  record_change (entry);
   HASH_DEL (members->by_name, entry);
   if (members->base.kernel != NULL)
-    kernel_timer_cancel (members->base.kernel, &entry->lapse_timer);
+    kernel_timer_cancel (members->base.kernel, &entry->suspicion_timer);
   free (entry);
 }
 
@@ -153,7 +155,7 @@
   return strcmp (a->member.address.name, b->member.address.name);
 }
 
-/* Lists all hosts and those of each domain anew, sorted by name.  */
+/* Rebuilds the list of all hosts and those of each domain, sorted by name.  */
 static void
 rebuild_lists (struct members *members)
 {
@@ -222,16 +224,16 @@
   return entry == NULL ? NULL : &entry->member;
 }
 
-/* A host of a new incarnation is another one at the same name: nothing that
-   was known of the old one holds.  */
+/* Resets what is known about a host that restarted, that is, has a new
+   incarnation.  */
 static void
-forget_evidence (struct host_entry *entry)
+reset_evidence (struct host_entry *entry)
 {
-  kernel_timer_cancel (entry->owner->base.kernel, &entry->lapse_timer);
+  kernel_timer_cancel (entry->owner->base.kernel, &entry->suspicion_timer);
   entry->member.suspected = false;
   entry->marked_leaving = false;
   entry->failures = 0;
-  entry->lapse_ms = 0;
+  entry->suspicion_ms = 0;
 }
 
 static void
@@ -240,12 +242,12 @@
   entry->listed_leaving = listed;
   bool leaving = listed || entry->marked_leaving;
   if (leaving != entry->member.leaving)
-    note_change (entry);
+    record_change (entry);
   entry->member.leaving = leaving;
 }
 
 static bool
-is_same (const struct member *member, const struct platform_host *host)
+is_unchanged (const struct member *member, const struct platform_host *host)
 {
   return member->address.incarnation == host->incarnation
          && member->address.port == host->port
@@ -266,16 +268,16 @@
   if (entry == NULL)
     entry = entry_add (members, host->name);
   else if (entry->member.address.incarnation != host->incarnation)
-    forget_evidence (entry);
+    reset_evidence (entry);
   struct member *member = &entry->member;
-  if (!is_same (member, host))
-    note_change (entry);
+  if (!is_unchanged (member, host))
+    record_change (entry);
   memcpy (member->address.address, host->address, ADDRESS_BYTES);
   member->address.port = host->port;
   member->address.incarnation = host->incarnation;
   memcpy (member->domain, host->domain, NAME_BYTES);
   set_leaving (entry, host->leaving);
-  entry->seen_index = members->list_number;
+  entry->list_seen = members->list_number;
 }
 
 void
@@ -294,7 +296,7 @@
   struct host_entry *entry, *next;
   HASH_ITER (hh, members->by_name, entry, next)
   {
-    if (entry == members->self || entry->seen_index == members->list_number)
+    if (entry == members->self || entry->list_seen == members->list_number)
       continue;
     entry_free (members, entry);
     removed++;
@@ -331,8 +333,8 @@
 }
 
 bool
-members_changed (const struct members *members, uint64_t generation,
-                 uint64_t out[MEMBERS_CHANGES], size_t *count)
+members_changes_since (const struct members *members, uint64_t generation,
+                       uint64_t out[MEMBERS_CHANGES], size_t *count)
 {
   *count = 0;
   if (members->generation - generation > MEMBERS_CHANGES)
@@ -360,42 +362,42 @@
 }
 
 void
-members_answered (struct members *members, const char *name)
+members_record_answer (struct members *members, const char *name)
 {
   struct host_entry *entry = entry_find (members, name);
   if (entry == NULL || entry->failures == 0)
     return;
   entry->failures = 0;
-  entry->lapse_ms = 0;
+  entry->suspicion_ms = 0;
   if (!entry->member.suspected)
     return;
-  kernel_timer_cancel (members->base.kernel, &entry->lapse_timer);
+  kernel_timer_cancel (members->base.kernel, &entry->suspicion_timer);
   entry->member.suspected = false;
-  note_change (entry);
-  log_event (kernel_log (members->base.kernel), LOG_INFO, "host_answers",
+  record_change (entry);
+  log_event (kernel_log (members->base.kernel), LOG_INFO, "host_recovered",
              LOG_S ("host", name));
 }
 
 static void
 suspect (struct members *members, struct host_entry *entry, clk_ms now_ms)
 {
-  entry->lapse_ms
-      = entry->lapse_ms == 0 ? SUSPECT_LAPSE_MIN_MS : 2 * entry->lapse_ms;
-  if (entry->lapse_ms > SUSPECT_LAPSE_MAX_MS)
-    entry->lapse_ms = SUSPECT_LAPSE_MAX_MS;
+  entry->suspicion_ms
+      = entry->suspicion_ms == 0 ? SUSPICION_MIN_MS : 2 * entry->suspicion_ms;
+  if (entry->suspicion_ms > SUSPICION_MAX_MS)
+    entry->suspicion_ms = SUSPICION_MAX_MS;
   entry->member.suspected = true;
-  note_change (entry);
-  kernel_timer_set (members->base.kernel, &entry->lapse_timer,
-                    now_ms + entry->lapse_ms);
+  record_change (entry);
+  kernel_timer_set (members->base.kernel, &entry->suspicion_timer,
+                    now_ms + entry->suspicion_ms);
   log_event (kernel_log (members->base.kernel), LOG_WARNING, "host_suspected",
              LOG_S ("host", entry->member.address.name),
              LOG_U ("failures", entry->failures),
              LOG_I ("failing_ms", now_ms - entry->failing_since_ms),
-             LOG_I ("lapse_ms", entry->lapse_ms));
+             LOG_I ("lapse_ms", entry->suspicion_ms));
 }
 
 void
-members_failed (struct members *members, const char *name)
+members_record_failure (struct members *members, const char *name)
 {
   struct host_entry *entry = entry_find (members, name);
   if (entry == NULL || entry == members->self || entry->member.suspected)
@@ -403,8 +405,8 @@
   clk_ms now_ms = kernel_now (members->base.kernel);
   if (entry->failures++ == 0)
     entry->failing_since_ms = now_ms;
-  if (entry->failures >= SUSPECT_FAILURES
-      || now_ms - entry->failing_since_ms >= SUSPECT_SILENCE_MS)
+  if (entry->failures >= SUSPICION_FAILURES
+      || now_ms - entry->failing_since_ms >= SUSPICION_FAILING_MS)
     suspect (members, entry, now_ms);
 }
 
@@ -418,12 +420,12 @@
     return;
   entry->marked_leaving = true;
   entry->member.leaving = true;
-  note_change (entry);
+  record_change (entry);
   log_event (kernel_log (members->base.kernel), LOG_INFO, "host_leaving",
              LOG_S ("host", name), LOG_U ("incarnation", incarnation));
 }
 
-/* A host and its place for a key: usable ones first, then by score.  */
+/* A host and its rank for a key: usable hosts first, then by score.  */
 struct candidate
 {
   struct host_entry *entry;
@@ -452,7 +454,8 @@
   return by_name (a->entry, b->entry) < 0;
 }
 
-/* Inserts CANDIDATE into the COUNT best so far; returns the new count.  */
+/* Inserts CANDIDATE into the sorted array BEST of COUNT entries, which drops
+   its last entry if LIMIT is reached.  Returns the new count.  */
 static size_t
 insert_best (struct candidate *best, size_t count, size_t limit,
              const struct candidate *candidate)
@@ -531,16 +534,16 @@
 
   /* Each round takes the next best host of every domain.  */
   size_t written = 0;
-  bool any = true;
-  while (written < count && any)
+  bool progress = true;
+  while (written < count && progress)
     {
-      any = false;
+      progress = false;
       size_t found = 0;
       for (size_t d = 0; d < domain_count; d++)
         if (taken[d] < filled[d])
           found = insert_best (best, found, domain_count,
                                &pool[d * count + taken[d]++]);
-      for (size_t i = 0; i < found && written < count; i++, any = true)
+      for (size_t i = 0; i < found && written < count; i++, progress = true)
         out[written++] = &best[i].entry->member;
     }
   free (pool);
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -10,7 +10,8 @@
 
 #define KIND_COUNT (PEER_KIND_CENSUS + 1)
 
-/* Ids of calls to this host; those of the port never have this bit.  */
+/* Set in the ids of this module's own calls and never in ids of the port, so
+   that peers_reply can tell a local call from a received one.  */
 #define LOCAL_BIT (1ULL << 63)
 
 struct handler
@@ -21,9 +22,9 @@
 
 enum call_state
 {
-  CALL_QUEUED,  /* local: not yet given to the handler */
-  CALL_RUNNING, /* given to the handler or the port */
-  CALL_ANSWERED /* local: the answer waits for its deferred delivery */
+  CALL_QUEUED,  /* local: not yet passed to the handler */
+  CALL_RUNNING, /* passed to the handler or the port */
+  CALL_ANSWERED /* local: the reply waits for its deferred delivery */
 };
 
 struct peer_pending
@@ -34,7 +35,7 @@
   enum call_state state;
   bool cancelled;
   struct peer_address to;
-  peer_message *message; /* local: the question, later the answer */
+  peer_message *message; /* local: the request, later the reply */
   struct ktimer timeout;
   peer_done done;
   void *arg;
@@ -87,7 +88,7 @@
 }
 
 static peer_message
-own_message (struct peers *peers, const peer_body *body)
+make_message (struct peers *peers, const peer_body *body)
 {
   const struct member *self = members_self (peers->members);
   memcpy (peers->host, self->address.name, NAME_BYTES);
@@ -98,7 +99,7 @@
               .incarnation = self->address.incarnation },
     .body = *body,
   };
-  peers_body_fill (&message.body);
+  peers_body_replace_nulls (&message.body);
   return message;
 }
 
@@ -109,9 +110,10 @@
   peers_reply (peers, call, &body);
 }
 
-/* Whether FROM is a member as this host knows it.  */
+/* Returns whether FROM is a member, of the same incarnation and failure
+   domain.  */
 static bool
-is_known (struct peers *peers, const peer_identity *from)
+is_member (struct peers *peers, const peer_identity *from)
 {
   const struct member *member = members_find (peers->members, from->host);
   return member != NULL
@@ -124,9 +126,9 @@
 handle_message (void *arg, uint64_t call, const peer_message *message)
 {
   struct peers *peers = arg;
-  bool known = is_known (peers, &message->from);
+  bool from_member = is_member (peers, &message->from);
   peer_kind kind = message->body.kind;
-  if (!known && kind != PEER_KIND_PULL)
+  if (!from_member && kind != PEER_KIND_PULL)
     {
       ++*peers->refused;
       log_event (kernel_log (peers->base.kernel), LOG_WARNING, "peer_refused",
@@ -137,8 +139,8 @@
       reply_kind (peers, call, PEER_KIND_REFUSED);
       return;
     }
-  if (known)
-    members_answered (peers->members, message->from.host);
+  if (from_member)
+    members_record_answer (peers->members, message->from.host);
   if ((unsigned)kind >= KIND_COUNT || peers->handlers[kind].fn == NULL)
     {
       reply_kind (peers, call, PEER_KIND_REFUSED);
@@ -147,9 +149,9 @@
   peers->handlers[kind].fn (peers->handlers[kind].arg, call, message);
 }
 
-/* Runs the handler of a call to this host.  */
+/* Passes a request to this host itself to its handler.  */
 static void
-run_local (void *arg)
+handle_local (void *arg)
 {
   struct peer_pending *call = arg;
   if (call->cancelled)
@@ -158,31 +160,31 @@
       return;
     }
   call->state = CALL_RUNNING;
-  peer_message *question = call->message;
+  peer_message *request = call->message;
   call->message = NULL;
-  if (question == NULL)
+  if (request == NULL)
     reply_kind (call->peers, call->id, PEER_KIND_REFUSED);
   else
-    handle_message (call->peers, call->id, question);
-  peers_message_free (question);
+    handle_message (call->peers, call->id, request);
+  peers_message_free (request);
 }
 
 static void
-finish_local (void *arg)
+deliver_local_reply (void *arg)
 {
   struct peer_pending *call = arg;
-  peer_message *answer = call->message;
+  peer_message *reply = call->message;
   peer_done done = call->cancelled ? NULL : call->done;
   void *done_arg = call->arg;
   call->message = NULL;
   pending_free (call);
-  if (done != NULL && answer == NULL)
+  if (done != NULL && reply == NULL)
     done (done_arg, PEER_LOST, NULL);
-  else if (done != NULL && answer->body.kind == PEER_KIND_REFUSED)
+  else if (done != NULL && reply->body.kind == PEER_KIND_REFUSED)
     done (done_arg, PEER_UNREACHABLE, NULL);
   else if (done != NULL)
-    done (done_arg, PEER_OK, answer);
-  peers_message_free (answer);
+    done (done_arg, PEER_OK, reply);
+  peers_message_free (reply);
 }
 
 static void
@@ -204,20 +206,21 @@
 {
   struct kernel *kernel = peers->base.kernel;
   struct peer_pending *call = pending_add (peers, to, done, arg);
-  peer_message message = own_message (peers, body);
+  peer_message message = make_message (peers, body);
   call->message = peers_message_copy (&message);
   call->state = CALL_QUEUED;
   call->timeout.fire = local_timeout;
   call->timeout.arg = call;
   kernel_timer_set (kernel, &call->timeout, kernel_now (kernel) + timeout_ms);
-  kernel_defer (kernel, run_local, call);
+  kernel_defer (kernel, handle_local, call);
   return call->id;
 }
 
-/* Works out what an answer is worth: one by another incarnation than the
-   one that was called came from a host that took over the address.  */
+/* Returns the status that a reply gives to CALL.  A reply of another
+   incarnation or name comes from a different host at the same address, so
+   the outcome of the call is unknown.  */
 static enum peer_status
-check_answer (const struct peer_pending *call, const peer_message *reply)
+check_reply (const struct peer_pending *call, const peer_message *reply)
 {
   if (reply->body.kind == PEER_KIND_REFUSED)
     return PEER_UNREACHABLE;
@@ -240,12 +243,12 @@
   if (status == PEER_OK)
     {
       refused = reply->body.kind == PEER_KIND_REFUSED;
-      status = check_answer (call, reply);
+      status = check_reply (call, reply);
     }
   if (status == PEER_OK)
-    members_answered (peers->members, call->to.name);
+    members_record_answer (peers->members, call->to.name);
   else if (!refused)
-    members_failed (peers->members, call->to.name);
+    members_record_failure (peers->members, call->to.name);
   pending_free (call);
   done (done_arg, status, status == PEER_OK ? reply : NULL);
 }
@@ -256,7 +259,7 @@
              void *arg)
 {
   struct peer_pending *call = pending_add (peers, to, done, arg);
-  peer_message message = own_message (peers, body);
+  peer_message message = make_message (peers, body);
   call->state = CALL_RUNNING;
   call->port_id = peers->port->ops->call (peers->port, to, &message,
                                           timeout_ms, remote_done, call);
@@ -282,7 +285,8 @@
     return;
   if (call->port_id != 0)
     peers->port->ops->cancel (peers->port, call->port_id);
-  /* A deferred call still refers to a queued or answered one.  */
+  /* A deferred function still refers to a queued or answered call, and frees
+     it.  */
   if (call->port_id != 0 || call->state == CALL_RUNNING)
     pending_free (call);
   else
@@ -292,7 +296,7 @@
 void
 peers_reply (struct peers *peers, uint64_t call_id, const peer_body *body)
 {
-  peer_message message = own_message (peers, body);
+  peer_message message = make_message (peers, body);
   if ((call_id & LOCAL_BIT) == 0)
     {
       peers->port->ops->reply (peers->port, call_id, &message);
@@ -303,7 +307,7 @@
     return;
   call->message = peers_message_copy (&message);
   call->state = CALL_ANSWERED;
-  kernel_defer (peers->base.kernel, finish_local, call);
+  kernel_defer (peers->base.kernel, deliver_local_reply, call);
 }
 
 void
--- a/src/core/peers_copy.c
+++ b/src/core/peers_copy.c
@@ -9,14 +9,14 @@
 static char empty[] = "";
 
 static void
-fill (char **text)
+replace_null (char **text)
 {
   if (*text == NULL)
     *text = empty;
 }
 
 void
-peers_body_fill (peer_body *body)
+peers_body_replace_nulls (peer_body *body)
 {
   peer_execute *execute = &body->peer_body_u.execute;
   peer_executed *executed = &body->peer_body_u.executed;
@@ -24,19 +24,19 @@
   switch (body->kind)
     {
     case PEER_KIND_EXECUTE:
-      fill (&execute->database);
-      fill (&execute->instance);
-      fill (&execute->kind);
-      fill (&execute->request_id);
-      fill (&execute->statement);
+      replace_null (&execute->database);
+      replace_null (&execute->instance);
+      replace_null (&execute->kind);
+      replace_null (&execute->request_id);
+      replace_null (&execute->statement);
       break;
     case PEER_KIND_EXECUTED:
-      fill (&executed->sqlstate);
-      fill (&executed->message);
+      replace_null (&executed->sqlstate);
+      replace_null (&executed->message);
       break;
     case PEER_KIND_SUSPICION:
-      fill (&suspicion->database);
-      fill (&suspicion->primary);
+      replace_null (&suspicion->database);
+      replace_null (&suspicion->primary);
       break;
     default:
       break;
--- a/src/core/peers_copy.h
+++ b/src/core/peers_copy.h
@@ -1,16 +1,17 @@
-/* peers_copy - deep copies of messages.  */
+/* peers_copy - deep copies of messages between hosts.  */
 
 #ifndef SAVORYWAY_CORE_PEERS_COPY_H
 #define SAVORYWAY_CORE_PEERS_COPY_H
 
 #include "port/peer.h"
 
-/* Sets the strings of BODY itself that are NULL to "", as XDR can't carry
-   NULL.  Strings within its arrays must not be NULL.  */
-void peers_body_fill (peer_body *body);
+/* Replaces the NULL strings of BODY by "", as XDR can't encode NULL.  Strings
+   within its arrays must not be NULL.  */
+void peers_body_replace_nulls (peer_body *body);
 
 /* Returns a deep copy of MESSAGE, made by encoding and decoding it, or NULL
-   if it breaks a limit of peer.x.  */
+   if it exceeds a limit of peer.x.  The caller frees it with
+   peers_message_free.  */
 peer_message *peers_message_copy (const peer_message *message);
 
 /* Frees a copy; NULL is allowed.  */
--- a/src/core/promotion.c
+++ b/src/core/promotion.c
@@ -4,12 +4,14 @@
 #include <string.h>
 
 #include "core/gateway.h"
-#include "core/guard.h"
+#include "core/monitor.h"
 #include "kernel/mutant.h"
 
-#define ORDER_LIMIT_MS 10000
+/* Time limit for the claim of a planned switch-over while the platform is
+   unavailable.  */
+#define SWITCH_OVER_CLAIM_LIMIT_MS 10000
 
-/* Clocks may run at rates that differ by this share.  */
+/* The rates of two hosts' clocks may differ by 1 / 20.  */
 #define CLOCK_DRIFT_DIVISOR 20
 
 static const char *const phase_names[] = {
@@ -27,75 +29,78 @@
 }
 
 static clk_ms
-now (const struct guard *guard)
+now (const struct monitor *monitor)
 {
-  return kernel_now (guard->env->kernel);
+  return kernel_now (monitor->env->kernel);
 }
 
 static struct log *
-log_of (const struct guard *guard)
+log_of (const struct monitor *monitor)
 {
-  return kernel_log (guard->env->kernel);
+  return kernel_log (monitor->env->kernel);
 }
 
 void
-promotion_enter (struct guard *guard, enum promotion_phase phase)
+promotion_enter (struct monitor *monitor, enum promotion_phase phase)
 {
-  struct promotion *p = &guard->promotion;
-  log_event (log_of (guard), LOG_INFO, "promotion",
-             LOG_S ("database", guard->database),
+  struct promotion *p = &monitor->promotion;
+  log_event (log_of (monitor), LOG_INFO, "promotion",
+             LOG_S ("database", monitor->database),
              LOG_S ("phase", phase_names[phase]),
              LOG_S ("was", phase_names[p->phase]),
              LOG_U ("term", p->next.term), LOG_S ("primary", p->next.primary),
              LOG_S ("attempt", p->next.attempt), LOG_U ("index", p->index),
-             LOG_I ("elapsed_ms", now (guard) - p->started_ms));
+             LOG_I ("elapsed_ms", now (monitor) - p->started_ms));
   p->phase = phase;
-  p->phase_ms = now (guard);
-  memset (p->again_ms, 0, sizeof p->again_ms);
-  guard_wake (guard);
+  p->phase_ms = now (monitor);
+  memset (p->job_due_ms, 0, sizeof p->job_due_ms);
+  monitor_wake (monitor);
 }
 
 static void
-new_attempt_id (struct guard *guard, char *out)
+new_attempt_id (struct monitor *monitor, char *out)
 {
-  struct rng *rng = kernel_rng (guard->env->kernel);
+  struct rng *rng = kernel_rng (monitor->env->kernel);
   unsigned long long high = rng_u64 (rng);
   unsigned long long low = rng_u64 (rng);
   snprintf (out, ATTEMPT_BYTES, "%016llx%016llx", high, low);
 }
 
-/* Starts an attempt on a copy of the record that is known.  */
+/* Initialises an attempt with a copy of the known record and a new attempt
+   id, and enters PHASE.  */
 static void
-begin (struct guard *guard, enum promotion_phase phase)
+begin (struct monitor *monitor, enum promotion_phase phase)
 {
-  struct promotion *p = &guard->promotion;
-  const struct term_record *record = guard_record (guard);
+  struct promotion *p = &monitor->promotion;
+  const struct term_record *record = monitor_record (monitor);
   promotion_done done = p->done;
   void *arg = p->arg;
-  bool ordered = p->ordered;
+  bool planned = p->planned;
   char target[PATH_BYTES];
   memcpy (target, p->target, sizeof target);
   memset (p, 0, sizeof *p);
   p->done = done;
   p->arg = arg;
-  p->ordered = ordered;
+  p->planned = planned;
   memcpy (p->target, target, sizeof target);
   if (record != NULL)
     p->next = *record;
-  p->index = terms_index (guard->env->terms, guard->database);
-  p->started_ms = now (guard);
-  new_attempt_id (guard, p->next.attempt);
+  p->index = terms_index (monitor->env->terms, monitor->database);
+  p->started_ms = now (monitor);
+  new_attempt_id (monitor, p->next.attempt);
   memcpy (p->next.coordinator,
-          members_self (guard->env->members)->address.name, NAME_BYTES);
-  promotion_enter (guard, phase);
+          members_self (monitor->env->members)->address.name, NAME_BYTES);
+  promotion_enter (monitor, phase);
 }
 
-/* Whether some kind is acknowledged, or read strongly, without a replica.  */
+/* Returns whether the primary alone acknowledges some kind of request, so that
+   hosts with an old view of the term could still acknowledge at the old
+   primary.  True if the database is not in the view.  */
 static bool
-needs_window (const struct guard *guard)
+needs_view_expiry (const struct monitor *monitor)
 {
   struct view_database *database
-      = view_database (guard->env->view, guard->database);
+      = view_database (monitor->env->view, monitor->database);
   if (database == NULL)
     return true;
   const struct view_service *service = database->service;
@@ -105,26 +110,26 @@
   return false;
 }
 
-/* Hosts whose view is older than the claim stop acknowledging by themselves
-   within the window.  */
+/* Delays the activation until all hosts have either received the claim or
+   stopped acknowledging, because their view of the term is too old.  */
 static void
-set_window (struct guard *guard)
+set_activation_delay (struct monitor *monitor)
 {
-  clk_ms window_ms
+  clk_ms delay_ms
       = TERM_VIEW_MAX_AGE_MS + TERM_VIEW_MAX_AGE_MS / CLOCK_DRIFT_DIVISOR;
-  guard->promotion.active_after_ms
-      = needs_window (guard) && !MUTANT (skip_ack_window)
-            ? now (guard) + window_ms
+  monitor->promotion.activate_after_ms
+      = needs_view_expiry (monitor) && !MUTANT (skip_ack_window)
+            ? now (monitor) + delay_ms
             : 0;
 }
 
 static void
-finish (struct guard *guard, bool ok, const char *message)
+finish (struct monitor *monitor, bool ok, const char *message)
 {
-  struct promotion *p = &guard->promotion;
+  struct promotion *p = &monitor->promotion;
   promotion_done done = p->done;
   void *arg = p->arg;
-  metrics_count (kernel_metrics (guard->env->kernel),
+  metrics_count (kernel_metrics (monitor->env->kernel),
                  ok ? "promotions_total{result=\"done\"}"
                     : "promotions_total{result=\"stopped\"}");
   memset (p, 0, sizeof *p);
@@ -133,168 +138,169 @@
 }
 
 void
-promotion_stop (struct guard *guard, const char *why)
+promotion_stop (struct monitor *monitor, const char *why)
 {
-  struct promotion *p = &guard->promotion;
+  struct promotion *p = &monitor->promotion;
   if (p->phase == PROMOTION_NONE)
     return;
-  log_event (log_of (guard), LOG_WARNING, "promotion_stopped",
-             LOG_S ("database", guard->database),
+  log_event (log_of (monitor), LOG_WARNING, "promotion_stopped",
+             LOG_S ("database", monitor->database),
              LOG_S ("phase", phase_names[p->phase]),
              LOG_U ("term", p->next.term), LOG_S ("why", why));
   if (p->call != 0)
-    guard->env->platform->ops->cancel (guard->env->platform, p->call);
-  finish (guard, false, why);
+    monitor->env->platform->ops->cancel (monitor->env->platform, p->call);
+  finish (monitor, false, why);
 }
 
 void
-promotion_start (struct guard *guard, uint64_t term)
+promotion_start (struct monitor *monitor, uint64_t term)
 {
-  begin (guard, PROMOTION_CLAIM);
-  guard->promotion.next.term = term;
-  guard->promotion.next.state = TERM_SEALING;
-  promotion_step (guard);
+  begin (monitor, PROMOTION_CLAIM);
+  monitor->promotion.next.term = term;
+  monitor->promotion.next.state = TERM_SEALING;
+  promotion_step (monitor);
 }
 
 static const char *
-check_order (struct guard *guard, const char *target)
+check_switch_over (struct monitor *monitor, const char *target)
 {
-  const struct term_record *record = guard_record (guard);
+  const struct term_record *record = monitor_record (monitor);
   if (record == NULL || record->state != TERM_ACTIVE)
     return "the database has no active primary";
-  if (guard->promotion.phase != PROMOTION_NONE)
+  if (monitor->promotion.phase != PROMOTION_NONE)
     return "a promotion is under way";
-  if (guard->instance_count < 2)
+  if (monitor->instance_count < 2)
     return "the database has one instance only";
   if (target == NULL)
     return NULL;
   if (strcmp (target, record->primary) == 0)
     return "the target is the primary";
-  if (guard_find (guard, target) == guard->instance_count)
+  if (monitor_find_instance (monitor, target) == monitor->instance_count)
     return "no such instance";
   return NULL;
 }
 
 const char *
-promotion_order (struct guard *guard, const char *target, promotion_done done,
-                 void *arg)
+promotion_switch_over (struct monitor *monitor, const char *target,
+                       promotion_done done, void *arg)
 {
-  struct promotion *p = &guard->promotion;
-  const char *error = check_order (guard, target);
+  struct promotion *p = &monitor->promotion;
+  const char *error = check_switch_over (monitor, target);
   if (error != NULL)
     return error;
   p->done = done;
   p->arg = arg;
-  p->ordered = true;
+  p->planned = true;
   snprintf (p->target, sizeof p->target, "%s", target == NULL ? "" : target);
-  promotion_start (guard, guard_record (guard)->term + 1);
+  promotion_start (monitor, monitor_record (monitor)->term + 1);
   return NULL;
 }
 
 void
-promotion_resume (struct guard *guard)
+promotion_resume (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  begin (guard, PROMOTION_PROMOTE);
-  p->next = *guard_record (guard);
-  set_window (guard);
-  promotion_step (guard);
+  struct promotion *p = &monitor->promotion;
+  begin (monitor, PROMOTION_PROMOTE);
+  p->next = *monitor_record (monitor);
+  set_activation_delay (monitor);
+  promotion_step (monitor);
 }
 
 void
-promotion_bootstrap (struct guard *guard, uint64_t term, const char *primary)
+promotion_bootstrap (struct monitor *monitor, uint64_t term,
+                     const char *primary)
 {
-  struct promotion *p = &guard->promotion;
-  begin (guard, PROMOTION_BOOTSTRAP);
+  struct promotion *p = &monitor->promotion;
+  begin (monitor, PROMOTION_BOOTSTRAP);
   p->next.term = term;
   p->next.state = TERM_ACTIVE;
   snprintf (p->next.primary, sizeof p->next.primary, "%s", primary);
   p->next.start_count = 1;
   p->next.starts[0] = (struct term_start){ .term = term, .lsn = 0 };
-  promotion_step (guard);
+  promotion_step (monitor);
 }
 
 const char *
-promotion_set_hold (struct guard *guard, bool hold, promotion_done done,
+promotion_set_hold (struct monitor *monitor, bool hold, promotion_done done,
                     void *arg)
 {
-  struct promotion *p = &guard->promotion;
-  const struct term_record *record = guard_record (guard);
+  struct promotion *p = &monitor->promotion;
+  const struct term_record *record = monitor_record (monitor);
   if (record == NULL || record->state != TERM_ACTIVE)
     return "the database has no active primary";
   if (p->phase != PROMOTION_NONE)
     return "a promotion is under way";
-  begin (guard, PROMOTION_HOLD);
+  begin (monitor, PROMOTION_HOLD);
   p->done = done;
   p->arg = arg;
   p->next.hold = hold;
-  promotion_step (guard);
+  promotion_step (monitor);
   return NULL;
 }
 
-/* The platform has the record: goes on to the next phase.  */
 void
-promotion_written (struct guard *guard)
+promotion_record_written (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
+  struct promotion *p = &monitor->promotion;
   switch (p->phase)
     {
     case PROMOTION_CLAIM:
-      set_window (guard);
-      promotion_enter (guard, p->ordered ? PROMOTION_FENCE : PROMOTION_SEAL);
+      set_activation_delay (monitor);
+      promotion_enter (monitor, p->planned ? PROMOTION_FENCE : PROMOTION_SEAL);
       break;
     case PROMOTION_CHOOSE:
-      promotion_enter (guard, PROMOTION_PROMOTE);
+      promotion_enter (monitor, PROMOTION_PROMOTE);
       break;
     case PROMOTION_ACTIVATE:
       {
         bool ok
             = p->target[0] == '\0' || strcmp (p->target, p->next.primary) == 0;
-        promotion_enter (guard, PROMOTION_NONE);
-        finish (guard, ok, ok ? "done" : "the target was behind another");
-        guard_repair_now (guard);
+        promotion_enter (monitor, PROMOTION_NONE);
+        finish (monitor, ok, ok ? "done" : "the target was behind another");
+        monitor_repair_now (monitor);
         break;
       }
     default:
-      promotion_enter (guard, PROMOTION_NONE);
-      finish (guard, true, "done");
+      promotion_enter (monitor, PROMOTION_NONE);
+      finish (monitor, true, "done");
       break;
     }
 }
 
-/* Whether the record has moved on without this attempt.  */
+/* Returns whether another attempt has written a newer record.  */
 static bool
-has_lost_record (const struct guard *guard)
+is_record_taken_over (const struct monitor *monitor)
 {
-  const struct promotion *p = &guard->promotion;
-  const struct term_record *record = guard_record (guard);
+  const struct promotion *p = &monitor->promotion;
+  const struct term_record *record = monitor_record (monitor);
   return record != NULL
-         && terms_index (guard->env->terms, guard->database) > p->index
+         && terms_index (monitor->env->terms, monitor->database) > p->index
          && strcmp (record->attempt, p->next.attempt) != 0;
 }
 
 static void
-step_claim (struct guard *guard)
+step_claim (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  bool no_effect = !p->read_back && p->call == 0;
-  if (no_effect && p->ordered && now (guard) - p->started_ms > ORDER_LIMIT_MS)
-    promotion_stop (guard, "the platform is unavailable");
-  else if (no_effect && !p->ordered && !guard->suspected && p->platform_down
-           && p->next.term > guard->record_term
-           && guard_record (guard)->state == TERM_ACTIVE)
-    promotion_stop (guard, "the primary answers again");
+  struct promotion *p = &monitor->promotion;
+  bool is_not_written = !p->read_back && p->call == 0;
+  if (is_not_written && p->planned
+      && now (monitor) - p->started_ms > SWITCH_OVER_CLAIM_LIMIT_MS)
+    promotion_stop (monitor, "the platform is unavailable");
+  else if (is_not_written && !p->planned && !monitor->suspected
+           && p->platform_down && p->next.term > monitor->record_term
+           && monitor_record (monitor)->state == TERM_ACTIVE)
+    promotion_stop (monitor, "the primary answers again");
   else
-    promotion_write (guard);
+    promotion_write_record (monitor);
 }
 
 void
-promotion_step (struct guard *guard)
+promotion_step (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  if (p->phase != PROMOTION_NONE && has_lost_record (guard))
+  struct promotion *p = &monitor->promotion;
+  if (p->phase != PROMOTION_NONE && is_record_taken_over (monitor))
     {
-      promotion_stop (guard, "superseded");
+      promotion_stop (monitor, "superseded");
       return;
     }
   switch (p->phase)
@@ -302,28 +308,28 @@
     case PROMOTION_NONE:
       break;
     case PROMOTION_CLAIM:
-      step_claim (guard);
+      step_claim (monitor);
       break;
     case PROMOTION_BOOTSTRAP:
     case PROMOTION_HOLD:
     case PROMOTION_CHOOSE:
-      promotion_write (guard);
+      promotion_write_record (monitor);
       break;
     case PROMOTION_ACTIVATE:
-      if (now (guard) >= p->active_after_ms)
-        promotion_write (guard);
+      if (now (monitor) >= p->activate_after_ms)
+        promotion_write_record (monitor);
       break;
     case PROMOTION_FENCE:
-      promotion_fence (guard);
+      promotion_fence (monitor);
       break;
     case PROMOTION_CATCH_UP:
-      promotion_catch_up (guard);
+      promotion_catch_up (monitor);
       break;
     case PROMOTION_SEAL:
-      promotion_seal (guard);
+      promotion_seal (monitor);
       break;
     case PROMOTION_PROMOTE:
-      promotion_promote (guard);
+      promotion_promote (monitor);
       break;
     }
 }
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -1,23 +1,33 @@
-/* promotion - one attempt of a coordinator to give a database a primary.
+/* promotion - one attempt of a coordinator to replace a database's primary.
 
-   The steps, each safe to repeat and to be taken over by another host:
+   A planned switch-over is one that an operator requests, or that moves the
+   primary off a leaving instance.  The other attempts are failovers.
 
-     CLAIM     compare-and-swap of the record: {term T+1, sealing}
-     FENCE     ordered switch-over only: the old primary stops writing
-     CATCH_UP  ordered switch-over only: the target receives what is left
-     SEAL      instances take no more log of terms below T+1, and then
-               report their positions
+   The phases, from term T to T+1.  Each is idempotent and can be taken over
+   by another host:
+
+     CLAIM     compare-and-swap of the term record: {term T+1, sealing}
+     FENCE     planned switch-over only: the old primary stops writing
+     CATCH_UP  planned switch-over only: the target receives the rest of the
+               old primary's log
+     SEAL      instances are fenced: they accept no more log of terms below
+               T+1, and then report their positions
      CHOOSE    compare-and-swap: {chosen, primary, start of T+1}
      PROMOTE   the chosen instance becomes primary of T+1
-     ACTIVATE  compare-and-swap: {active}; where a kind is acknowledged by
-               the primary alone and the old one was not sealed, only once
-               TERM_VIEW_MAX_AGE_MS have passed since CLAIM
+     ACTIVATE  compare-and-swap: {active}.  If the primary alone acknowledges
+               a kind of request, and the old one was not sealed, it waits
+               until TERM_VIEW_MAX_AGE_MS, plus a margin for clock drift,
+               have passed since CLAIM
 
    A write is acknowledged once the primary and one replica of its term have
-   it.  Of N instances N - 1 are sealed before the choice, so that every such
-   pair has a sealed member, and the furthest of them has every acknowledged
-   write.  The platform's compare-and-swap decides between coordinators; the
-   attempt id resolves an answer that was lost.  */
+   received it.  Of N instances N - 1 are sealed before the choice, so at
+   least one of every such pair is sealed, and the sealed instance with the
+   most log has every acknowledged write.  The platform's compare-and-swap
+   decides between concurrent coordinators.  If the reply to a write is lost,
+   the record is read back and the attempt id shows whether it was written.
+
+   BOOTSTRAP and HOLD are attempts of a single write: of a first record, and
+   of the ban on automatic promotions.  */
 
 #ifndef SAVORYWAY_CORE_PROMOTION_H
 #define SAVORYWAY_CORE_PROMOTION_H
@@ -26,7 +36,7 @@
 #include "port/db_port.h"
 #include "port/platform_port.h"
 
-#define GUARD_INSTANCES 5
+#define MONITOR_MAX_INSTANCES 5
 
 enum promotion_phase
 {
@@ -42,77 +52,85 @@
   PROMOTION_ACTIVATE
 };
 
-/* OK is false if the order was not carried out; MESSAGE says why.  */
+/* Called when an attempt ends.  MESSAGE is the reason if OK is false.  */
 typedef void (*promotion_done) (void *arg, bool ok, const char *message);
 
-struct guard;
+struct monitor;
 
 /* State of the attempt of one database; all zero is idle.  */
 struct promotion
 {
   enum promotion_phase phase;
-  clk_ms phase_ms;   /* when the phase began */
-  clk_ms started_ms; /* when the attempt began */
-  bool ordered;
-  char target[PATH_BYTES]; /* wanted primary; empty for any */
-  promotion_done done;     /* NULL unless ordered */
+  clk_ms phase_ms;   /* start of the phase */
+  clk_ms started_ms; /* start of the attempt */
+  bool planned;
+  char target[PATH_BYTES]; /* requested primary; empty for any */
+  promotion_done done;     /* NULL unless planned */
   void *arg;
 
-  /* The record: what it is at the index, and what it shall become.  */
+  /* The write of the term record: platform index that it expects, and new
+     record.  */
   uint64_t index;
   struct term_record next;
-  uint64_t call;   /* of the platform, 0 if none runs */
-  bool read_back;  /* the outcome of the write is not known */
-  clk_ms retry_ms; /* not before */
+  uint64_t call;   /* platform call in flight; 0 if none */
+  bool read_back;  /* the outcome of the write is unknown: read first */
+  clk_ms retry_ms; /* earliest time of the next call */
   bool platform_down;
 
-  bool sealed[GUARD_INSTANCES];
-  bool running[GUARD_INSTANCES]; /* a job of this attempt */
-  clk_ms again_ms[GUARD_INSTANCES];
-  struct db_report reports[GUARD_INSTANCES];
+  bool sealed[MONITOR_MAX_INSTANCES];
+  bool job_running[MONITOR_MAX_INSTANCES]; /* job of this attempt */
+  clk_ms job_due_ms[MONITOR_MAX_INSTANCES];
+  struct db_report reports[MONITOR_MAX_INSTANCES];
   uint64_t fence_lsn;
   bool fenced;
-  clk_ms active_after_ms;
+  clk_ms activate_after_ms;
 };
 
-/* Begins an attempt at TERM on the record that is known.  */
-void promotion_start (struct guard *guard, uint64_t term);
+/* Starts an attempt at TERM, based on the record known to this host.  */
+void promotion_start (struct monitor *monitor, uint64_t term);
 
-/* Begins an ordered switch-over to TARGET, or to any other instance if
-   NULL.  Returns NULL, or why it can't be done, without calling DONE.  */
-const char *promotion_order (struct guard *guard, const char *target,
-                             promotion_done done, void *arg);
+/* Starts a planned switch-over to TARGET, or to any other instance if TARGET
+   is NULL.  Returns NULL, or an error message without calling DONE.  DONE may
+   be NULL.  */
+const char *promotion_switch_over (struct monitor *monitor, const char *target,
+                                   promotion_done done, void *arg);
 
-/* Goes on with the chosen record of another coordinator.  */
-void promotion_resume (struct guard *guard);
+/* Continues an attempt of another coordinator whose record is in state
+   TERM_CHOSEN.  */
+void promotion_resume (struct monitor *monitor);
 
-/* Creates the first record, with PRIMARY of TERM as found.  */
-void promotion_bootstrap (struct guard *guard, uint64_t term,
+/* Creates the first record: PRIMARY, which reports TERM, is active.  */
+void promotion_bootstrap (struct monitor *monitor, uint64_t term,
                           const char *primary);
 
-/* Sets or lifts the ban on automatic promotions.  Returns NULL, or why it
-   can't be done, without calling DONE.  */
-const char *promotion_set_hold (struct guard *guard, bool hold,
+/* Sets or lifts the ban on automatic promotions.  Returns NULL, or an error
+   message without calling DONE.  */
+const char *promotion_set_hold (struct monitor *monitor, bool hold,
                                 promotion_done done, void *arg);
 
-/* Does what is due.  */
-void promotion_step (struct guard *guard);
+/* Does the work of the current phase.  Stops the attempt if another one has
+   changed the record.  */
+void promotion_step (struct monitor *monitor);
+
+/* Writes the next record with compare-and-swap, with retries and a read-back
+   if the reply is lost; in promotion_record.c.  */
+void promotion_write_record (struct monitor *monitor);
 
-/* Writes the next record, and sees to the answer; in promotion_record.c.
-   promotion_written is called once the platform has it.  */
-void promotion_write (struct guard *guard);
-void promotion_written (struct guard *guard);
+/* Enters the phase that follows a successful write of the record.  */
+void promotion_record_written (struct monitor *monitor);
 
-void promotion_enter (struct guard *guard, enum promotion_phase phase);
+/* Logs the change of phase, and enters PHASE.  */
+void promotion_enter (struct monitor *monitor, enum promotion_phase phase);
 
-/* The phases that work on the instances; in promotion_jobs.c.  */
-void promotion_fence (struct guard *guard);
-void promotion_catch_up (struct guard *guard);
-void promotion_seal (struct guard *guard);
-void promotion_promote (struct guard *guard);
+/* Phases that run jobs on the instances; in promotion_jobs.c.  */
+void promotion_fence (struct monitor *monitor);
+void promotion_catch_up (struct monitor *monitor);
+void promotion_seal (struct monitor *monitor);
+void promotion_promote (struct monitor *monitor);
 
-/* Ends the attempt; platform calls under way may still take effect.  */
-void promotion_stop (struct guard *guard, const char *why);
+/* Ends the attempt as failed.  A platform call in flight may still take
+   effect.  */
+void promotion_stop (struct monitor *monitor, const char *why);
 
 const char *promotion_phase_name (enum promotion_phase phase);
 
--- a/src/core/promotion_jobs.c
+++ b/src/core/promotion_jobs.c
@@ -1,21 +1,31 @@
 #include <string.h>
 
-#include "core/guard.h"
+#include "core/monitor.h"
 #include "kernel/mutant.h"
 
+/* Time limits of the phases.  After the first two the attempt goes on with
+   SEAL, which also fences the old primary.  After the last it restarts in a
+   higher term.  */
 #define FENCE_LIMIT_MS 1500
 #define CATCH_UP_LIMIT_MS 1500
-#define TARGET_SEAL_LIMIT_MS 500
 #define PROMOTE_LIMIT_MS 4000
-#define JOB_PAUSE_MS 100
-#define CATCH_UP_PAUSE_MS 10
+
+/* How long SEAL waits for the requested target once enough other instances
+   are sealed.  */
+#define TARGET_SEAL_LIMIT_MS 500
+
+/* Pauses between jobs on one instance, and between status polls in
+   CATCH_UP.  */
+#define JOB_RETRY_MS 100
+#define CATCH_UP_POLL_MS 10
 
 static clk_ms
-now (const struct guard *guard)
+now (const struct monitor *monitor)
 {
-  return kernel_now (guard->env->kernel);
+  return kernel_now (monitor->env->kernel);
 }
 
+/* Returns the report of RESULT, which a refused job carries too, or NULL.  */
 static const struct db_report *
 usable_report (const struct db_result *result)
 {
@@ -28,7 +38,8 @@
              : NULL;
 }
 
-/* Another attempt has gone further; its record will be known soon.  */
+/* Returns whether the instance is in a later term than this attempt.  The
+   record of the other attempt will be received soon.  */
 static bool
 is_superseded (const struct promotion *p, const struct db_report *report)
 {
@@ -36,33 +47,33 @@
 }
 
 static void
-job_ended (struct guard_instance *instance, size_t *index)
+job_ended (struct monitor_instance *instance, size_t *index)
 {
-  struct guard *guard = instance->guard;
-  *index = (size_t)(instance - guard->instances);
-  guard->promotion.running[*index] = false;
-  guard->promotion.again_ms[*index] = now (guard) + JOB_PAUSE_MS;
-  guard_wake (guard);
+  struct monitor *monitor = instance->monitor;
+  *index = (size_t)(instance - monitor->instances);
+  monitor->promotion.job_running[*index] = false;
+  monitor->promotion.job_due_ms[*index] = now (monitor) + JOB_RETRY_MS;
+  monitor_wake (monitor);
 }
 
 static void
-submit (struct guard *guard, size_t i, enum db_job_kind kind,
+submit (struct monitor *monitor, size_t i, enum db_job_kind kind,
         control_done done)
 {
-  struct promotion *p = &guard->promotion;
-  if (p->running[i] || now (guard) < p->again_ms[i])
+  struct promotion *p = &monitor->promotion;
+  if (p->job_running[i] || now (monitor) < p->job_due_ms[i])
     return;
-  p->running[i] = true;
-  control_submit (guard->instances[i].control, kind, p->next.term, NULL, done,
-                  &guard->instances[i]);
+  p->job_running[i] = true;
+  control_submit (monitor->instances[i].control, kind, p->next.term, NULL,
+                  done, &monitor->instances[i]);
 }
 
 static void
 fence_done (void *arg, const struct db_result *result)
 {
-  struct guard_instance *instance = arg;
-  struct guard *guard = instance->guard;
-  struct promotion *p = &guard->promotion;
+  struct monitor_instance *instance = arg;
+  struct monitor *monitor = instance->monitor;
+  struct promotion *p = &monitor->promotion;
   size_t i;
   if (p->phase != PROMOTION_FENCE)
     return;
@@ -74,63 +85,64 @@
 }
 
 void
-promotion_fence (struct guard *guard)
+promotion_fence (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  size_t old = guard_find (guard, p->next.primary);
+  struct promotion *p = &monitor->promotion;
+  size_t old = monitor_find_instance (monitor, p->next.primary);
   if (p->fenced)
-    promotion_enter (guard, PROMOTION_CATCH_UP);
-  else if (old == guard->instance_count
-           || now (guard) - p->phase_ms > FENCE_LIMIT_MS)
-    promotion_enter (guard, PROMOTION_SEAL);
+    promotion_enter (monitor, PROMOTION_CATCH_UP);
+  else if (old == monitor->instance_count
+           || now (monitor) - p->phase_ms > FENCE_LIMIT_MS)
+    promotion_enter (monitor, PROMOTION_SEAL);
   else
-    submit (guard, old, DB_FENCE, fence_done);
+    submit (monitor, old, DB_FENCE, fence_done);
 }
 
 static void
 catch_up_done (void *arg, const struct db_result *result)
 {
-  struct guard_instance *instance = arg;
-  struct guard *guard = instance->guard;
-  struct promotion *p = &guard->promotion;
+  struct monitor_instance *instance = arg;
+  struct monitor *monitor = instance->monitor;
+  struct promotion *p = &monitor->promotion;
   size_t i;
   if (p->phase != PROMOTION_CATCH_UP)
     return;
   job_ended (instance, &i);
-  p->again_ms[i] = now (guard) + CATCH_UP_PAUSE_MS;
+  p->job_due_ms[i] = now (monitor) + CATCH_UP_POLL_MS;
   if (result != NULL && result->status == DB_OK
       && result->report.received_lsn >= p->fence_lsn)
-    promotion_enter (guard, PROMOTION_SEAL);
+    promotion_enter (monitor, PROMOTION_SEAL);
 }
 
-/* Polls the target, or all replicas that may become primary.  */
+/* Polls the requested target, or else all replicas that may become
+   primary.  */
 void
-promotion_catch_up (struct guard *guard)
+promotion_catch_up (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  if (now (guard) - p->phase_ms > CATCH_UP_LIMIT_MS)
+  struct promotion *p = &monitor->promotion;
+  if (now (monitor) - p->phase_ms > CATCH_UP_LIMIT_MS)
     {
-      promotion_enter (guard, PROMOTION_SEAL);
+      promotion_enter (monitor, PROMOTION_SEAL);
       return;
     }
-  for (size_t i = 0; i < guard->instance_count; i++)
+  for (size_t i = 0; i < monitor->instance_count; i++)
     {
-      const struct guard_instance *instance = &guard->instances[i];
+      const struct monitor_instance *instance = &monitor->instances[i];
       bool wanted = p->target[0] == '\0'
                         ? strcmp (instance->name, p->next.primary) != 0
                               && !instance->leaving
                         : strcmp (instance->name, p->target) == 0;
       if (wanted)
-        submit (guard, i, DB_STATUS, catch_up_done);
+        submit (monitor, i, DB_STATUS, catch_up_done);
     }
 }
 
 static void
 seal_done (void *arg, const struct db_result *result)
 {
-  struct guard_instance *instance = arg;
-  struct guard *guard = instance->guard;
-  struct promotion *p = &guard->promotion;
+  struct monitor_instance *instance = arg;
+  struct monitor *monitor = instance->monitor;
+  struct promotion *p = &monitor->promotion;
   const struct db_report *report = usable_report (result);
   size_t i;
   if (p->phase != PROMOTION_SEAL)
@@ -140,7 +152,7 @@
     return;
   if (is_superseded (p, report))
     {
-      promotion_stop (guard, "an instance is sealed for a later term");
+      promotion_stop (monitor, "an instance is sealed for a later term");
       return;
     }
   if (result->status != DB_OK || report->sealed_term != p->next.term)
@@ -150,15 +162,16 @@
 }
 
 static size_t
-sealed_count (const struct guard *guard)
+sealed_count (const struct monitor *monitor)
 {
   size_t count = 0;
-  for (size_t i = 0; i < guard->instance_count; i++)
-    count += guard->promotion.sealed[i];
+  for (size_t i = 0; i < monitor->instance_count; i++)
+    count += monitor->promotion.sealed[i];
   return count;
 }
 
-/* Whether A has more of the history than B.  */
+/* Compares the log of two instances: positive if A has more of it, negative
+   if B has, 0 if equal.  */
 static int
 compare_history (const struct db_report *a, const struct db_report *b)
 {
@@ -169,40 +182,42 @@
   return 0;
 }
 
-/* Among instances with equal history: the target, then those that stay, and
-   replicas before the replaced primary.  */
+/* Ranks instances with equal log, the highest first: the requested target,
+   instances that are not leaving, replicas before the replaced primary.  */
 static int
-preference (const struct guard *guard, size_t i)
+preference (const struct monitor *monitor, size_t i)
 {
-  const struct promotion *p = &guard->promotion;
-  const struct guard_instance *instance = &guard->instances[i];
+  const struct promotion *p = &monitor->promotion;
+  const struct monitor_instance *instance = &monitor->instances[i];
   return 4 * (strcmp (instance->name, p->target) == 0) + 2 * !instance->leaving
          + (strcmp (instance->name, p->next.primary) != 0);
 }
 
 static size_t
-choose (const struct guard *guard)
+choose (const struct monitor *monitor)
 {
-  const struct promotion *p = &guard->promotion;
-  size_t best = guard->instance_count;
-  for (size_t i = 0; i < guard->instance_count; i++)
+  const struct promotion *p = &monitor->promotion;
+  size_t best = monitor->instance_count;
+  for (size_t i = 0; i < monitor->instance_count; i++)
     {
       if (!p->sealed[i])
         continue;
-      int order = best == guard->instance_count
+      int order = best == monitor->instance_count
                       ? 1
                       : compare_history (&p->reports[i], &p->reports[best]);
-      if (MUTANT (choose_any) && best != guard->instance_count)
+      if (MUTANT (choose_any) && best != monitor->instance_count)
         continue;
       if (order > 0
-          || (order == 0 && preference (guard, i) > preference (guard, best)))
+          || (order == 0
+              && preference (monitor, i) > preference (monitor, best)))
         best = i;
     }
   return best;
 }
 
-/* Adds the start of the record's term to its history, without terms that the
-   chosen instance, at REPORT, has no log of.  */
+/* Adds the start of the record's term to its history.  Removes the starts of
+   terms above that of the chosen instance's REPORT, as none of their log is
+   kept.  */
 static void
 extend_history (struct term_record *record, const struct db_report *report)
 {
@@ -221,51 +236,52 @@
 }
 
 static void
-choose_primary (struct guard *guard)
+choose_primary (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  size_t chosen = choose (guard);
+  struct promotion *p = &monitor->promotion;
+  size_t chosen = choose (monitor);
   const struct db_report *report = &p->reports[chosen];
-  const struct guard_instance *instance = &guard->instances[chosen];
-  log_event (kernel_log (guard->env->kernel), LOG_INFO, "promotion_choice",
-             LOG_S ("database", guard->database),
+  const struct monitor_instance *instance = &monitor->instances[chosen];
+  log_event (kernel_log (monitor->env->kernel), LOG_INFO, "primary_chosen",
+             LOG_S ("database", monitor->database),
              LOG_S ("chosen", instance->name),
-             LOG_U ("sealed", sealed_count (guard)),
-             LOG_U ("instances", guard->instance_count),
+             LOG_U ("sealed", sealed_count (monitor)),
+             LOG_U ("instances", monitor->instance_count),
              LOG_U ("log_term", report->term),
              LOG_U ("received_lsn", report->received_lsn),
              LOG_S ("replaced", p->next.primary));
-  size_t old = guard_find (guard, p->next.primary);
-  if (old < guard->instance_count && p->sealed[old])
-    p->active_after_ms = 0;
+  /* A sealed old primary acknowledges nothing more.  */
+  size_t old = monitor_find_instance (monitor, p->next.primary);
+  if (old < monitor->instance_count && p->sealed[old])
+    p->activate_after_ms = 0;
   memcpy (p->next.primary, instance->name, sizeof p->next.primary);
   p->next.state = TERM_CHOSEN;
   extend_history (&p->next, report);
-  promotion_enter (guard, PROMOTION_CHOOSE);
+  promotion_enter (monitor, PROMOTION_CHOOSE);
 }
 
 void
-promotion_seal (struct guard *guard)
+promotion_seal (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  size_t count = guard->instance_count;
+  struct promotion *p = &monitor->promotion;
+  size_t count = monitor->instance_count;
   size_t need = count > 1 && !MUTANT (seal_one_only) ? count - 1 : 1;
   for (size_t i = 0; i < count; i++)
     if (!p->sealed[i])
-      submit (guard, i, DB_SEAL, seal_done);
-  size_t target = guard_find (guard, p->target);
+      submit (monitor, i, DB_SEAL, seal_done);
+  size_t target = monitor_find_instance (monitor, p->target);
   bool wait_for_target = target < count && !p->sealed[target]
-                         && now (guard) - p->phase_ms < TARGET_SEAL_LIMIT_MS;
-  if (count > 0 && sealed_count (guard) >= need && !wait_for_target)
-    choose_primary (guard);
+                         && now (monitor) - p->phase_ms < TARGET_SEAL_LIMIT_MS;
+  if (count > 0 && sealed_count (monitor) >= need && !wait_for_target)
+    choose_primary (monitor);
 }
 
 static void
 promote_done (void *arg, const struct db_result *result)
 {
-  struct guard_instance *instance = arg;
-  struct guard *guard = instance->guard;
-  struct promotion *p = &guard->promotion;
+  struct monitor_instance *instance = arg;
+  struct monitor *monitor = instance->monitor;
+  struct promotion *p = &monitor->promotion;
   const struct db_report *report = usable_report (result);
   size_t i;
   if (p->phase != PROMOTION_PROMOTE)
@@ -274,24 +290,24 @@
   if (report == NULL)
     return;
   if (is_superseded (p, report))
-    promotion_stop (guard, "the chosen instance is in a later term");
+    promotion_stop (monitor, "the chosen instance is in a later term");
   else if (report->primary && report->term == p->next.term)
     {
       p->next.state = TERM_ACTIVE;
-      promotion_enter (guard, PROMOTION_ACTIVATE);
+      promotion_enter (monitor, PROMOTION_ACTIVATE);
     }
 }
 
 void
-promotion_promote (struct guard *guard)
+promotion_promote (struct monitor *monitor)
 {
-  struct promotion *p = &guard->promotion;
-  size_t chosen = guard_find (guard, p->next.primary);
-  if (chosen == guard->instance_count
-      || now (guard) - p->phase_ms > PROMOTE_LIMIT_MS)
+  struct promotion *p = &monitor->promotion;
+  size_t chosen = monitor_find_instance (monitor, p->next.primary);
+  if (chosen == monitor->instance_count
+      || now (monitor) - p->phase_ms > PROMOTE_LIMIT_MS)
     {
-      promotion_start (guard, p->next.term + 1);
+      promotion_start (monitor, p->next.term + 1);
       return;
     }
-  submit (guard, chosen, DB_PROMOTE, promote_done);
+  submit (monitor, chosen, DB_PROMOTE, promote_done);
 }
--- a/src/core/seal.c
+++ b/src/core/seal.c
@@ -4,12 +4,15 @@
 
 #include <sodium.h>
 
-#define SEALED_BYTES (SEAL_DATA_BYTES + crypto_auth_BYTES)
-#define TEXT_LIMIT_BYTES ((size_t)2 * SEALED_BYTES)
-#define VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
+#define TOKEN_BYTES (SEAL_DATA_BYTES + crypto_auth_BYTES)
+/* Longer than any encoded token; bounds the length of input that is read.  */
+#define TEXT_LIMIT_BYTES ((size_t)2 * TOKEN_BYTES)
+#define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
+/* Includes the null byte, so that no character can move from one text to the
+   next.  */
 static void
-feed_text (crypto_auth_hmacsha512256_state *state, const char *text)
+update_text (crypto_auth_hmacsha512256_state *state, const char *text)
 {
   const uint8_t *bytes = (const uint8_t *)text;
   crypto_auth_hmacsha512256_update (state, bytes, strlen (text) + 1);
@@ -21,9 +24,9 @@
 {
   crypto_auth_hmacsha512256_state state;
   crypto_auth_hmacsha512256_init (&state, context->key, SEAL_KEY_BYTES);
-  feed_text (&state, context->purpose);
-  feed_text (&state, context->service);
-  feed_text (&state, context->caller);
+  update_text (&state, context->purpose);
+  update_text (&state, context->service);
+  update_text (&state, context->caller);
   crypto_auth_hmacsha512256_update (&state, data, data_bytes);
   crypto_auth_hmacsha512256_final (&state, mac);
 }
@@ -32,15 +35,15 @@
 seal_write (const struct seal_context *context, const uint8_t *data,
             size_t data_bytes, char *out, size_t out_bytes)
 {
-  uint8_t sealed[SEALED_BYTES];
-  size_t sealed_bytes = data_bytes + crypto_auth_BYTES;
+  uint8_t token[TOKEN_BYTES];
+  size_t token_bytes = data_bytes + crypto_auth_BYTES;
   if (data_bytes > SEAL_DATA_BYTES)
     return false;
-  if (sodium_base64_encoded_len (sealed_bytes, VARIANT) > out_bytes)
+  if (sodium_base64_encoded_len (token_bytes, BASE64_VARIANT) > out_bytes)
     return false;
-  authenticate (context, data, data_bytes, sealed);
-  memcpy (sealed + crypto_auth_BYTES, data, data_bytes);
-  sodium_bin2base64 (out, out_bytes, sealed, sealed_bytes, VARIANT);
+  authenticate (context, data, data_bytes, token);
+  memcpy (token + crypto_auth_BYTES, data, data_bytes);
+  sodium_bin2base64 (out, out_bytes, token, token_bytes, BASE64_VARIANT);
   return true;
 }
 
@@ -48,20 +51,20 @@
 seal_read (const struct seal_context *context, const char *text, uint8_t *data,
            size_t *data_bytes)
 {
-  uint8_t sealed[SEALED_BYTES];
+  uint8_t token[TOKEN_BYTES];
   uint8_t mac[crypto_auth_BYTES];
-  size_t sealed_bytes = 0;
+  size_t token_bytes = 0;
   const char *end = NULL;
   size_t length = strnlen (text, TEXT_LIMIT_BYTES);
-  if (sodium_base642bin (sealed, sizeof sealed, text, length, NULL,
-                         &sealed_bytes, &end, VARIANT)
+  if (sodium_base642bin (token, sizeof token, text, length, NULL, &token_bytes,
+                         &end, BASE64_VARIANT)
           != 0
-      || end != text + length || sealed_bytes < crypto_auth_BYTES)
+      || end != text + length || token_bytes < crypto_auth_BYTES)
     return false;
-  *data_bytes = sealed_bytes - crypto_auth_BYTES;
-  authenticate (context, sealed + crypto_auth_BYTES, *data_bytes, mac);
-  if (sodium_memcmp (mac, sealed, sizeof mac) != 0)
+  *data_bytes = token_bytes - crypto_auth_BYTES;
+  authenticate (context, token + crypto_auth_BYTES, *data_bytes, mac);
+  if (sodium_memcmp (mac, token, sizeof mac) != 0)
     return false;
-  memcpy (data, sealed + crypto_auth_BYTES, *data_bytes);
+  memcpy (data, token + crypto_auth_BYTES, *data_bytes);
   return true;
 }
--- a/src/core/seal.h
+++ b/src/core/seal.h
@@ -1,8 +1,9 @@
-/* seal - authenticated text that callers keep and hand back.
+/* seal - authenticated tokens that callers store and send back.
 
-   Session tokens and transaction handles are sealed with the hosts' common
-   key and bound to their purpose, service and caller, so that none can be
-   altered, or used by another caller.  They are not encrypted.  */
+   Session tokens and transaction handles carry an HMAC (HMAC-SHA512-256) with
+   a key that all hosts share.  It covers their purpose, service and caller
+   too, so that a token can't be altered, nor used by another caller.  The
+   data is not encrypted.  */
 
 #ifndef SAVORYWAY_CORE_SEAL_H
 #define SAVORYWAY_CORE_SEAL_H
@@ -12,6 +13,8 @@
 #include <stdint.h>
 
 #define SEAL_KEY_BYTES 32
+
+/* Maximum size of the data in a token.  */
 #define SEAL_DATA_BYTES 1400
 
 struct seal_context
@@ -22,13 +25,14 @@
   const char *caller;
 };
 
-/* Writes DATA with its authenticator to OUT as URL-safe base64.  Returns
-   false if OUT_BYTES or SEAL_DATA_BYTES do not suffice.  */
+/* Writes DATA and its HMAC to OUT as null-terminated URL-safe base64.  Returns
+   false if DATA is longer than SEAL_DATA_BYTES or OUT_BYTES too small.  */
 bool seal_write (const struct seal_context *context, const uint8_t *data,
                  size_t data_bytes, char *out, size_t out_bytes);
 
-/* Reads TEXT into DATA, of SEAL_DATA_BYTES.  Returns false unless it was
-   written with the same context.  */
+/* Verifies TEXT and decodes it into DATA, which has room for SEAL_DATA_BYTES.
+   Returns false if TEXT is malformed or was not written with the same
+   context.  */
 bool seal_read (const struct seal_context *context, const char *text,
                 uint8_t *data, size_t *data_bytes);
 
--- a/src/core/terms.c
+++ b/src/core/terms.c
@@ -15,17 +15,17 @@
   char database[PATH_BYTES];
   uint64_t index;
   struct term_record record;
-  struct term_entry *prev; /* in the list by rising index */
+  struct term_entry *prev; /* list in ascending order of the index */
   struct term_entry *next;
   UT_hash_handle hh;
 };
 
-struct term_watch
+struct term_subscriber
 {
   void (*fn) (void *arg, const char *database,
               const struct term_record *record);
   void *arg;
-  struct term_watch *next;
+  struct term_subscriber *next;
 };
 
 struct terms
@@ -33,7 +33,7 @@
   struct module base;
   struct term_entry *by_database;
   struct term_entry *by_index;
-  struct term_watch *watches;
+  struct term_subscriber *subscribers;
 };
 
 static const char *const state_names[] = {
@@ -54,8 +54,11 @@
     HASH_DEL (terms->by_database, entry);
     free (entry);
   }
-  struct term_watch *watch, *next_watch;
-  LL_FOREACH_SAFE (terms->watches, watch, next_watch) { free (watch); }
+  struct term_subscriber *subscriber, *next_subscriber;
+  LL_FOREACH_SAFE (terms->subscribers, subscriber, next_subscriber)
+  {
+    free (subscriber);
+  }
   free (terms);
 }
 
@@ -107,7 +110,7 @@
   return entry;
 }
 
-/* Puts ENTRY into its place in the list by rising index.  */
+/* Inserts ENTRY into the list that is sorted by index.  */
 static void
 insert_by_index (struct terms *terms, struct term_entry *entry)
 {
@@ -150,7 +153,7 @@
              LOG_S ("state", state_names[record->state]),
              LOG_S ("primary", record->primary),
              LOG_S ("coordinator", record->coordinator));
-  for (struct term_watch *w = terms->watches; w != NULL; w = w->next)
+  for (struct term_subscriber *w = terms->subscribers; w != NULL; w = w->next)
     w->fn (w->arg, database, &entry->record);
 }
 
@@ -160,10 +163,10 @@
                          const struct term_record *record),
              void *arg)
 {
-  struct term_watch *watch = mem_zalloc (sizeof *watch);
-  watch->fn = fn;
-  watch->arg = arg;
-  LL_APPEND (terms->watches, watch);
+  struct term_subscriber *subscriber = mem_zalloc (sizeof *subscriber);
+  subscriber->fn = fn;
+  subscriber->arg = arg;
+  LL_APPEND (terms->subscribers, subscriber);
 }
 
 void
@@ -284,8 +287,8 @@
 {
   if (position.term > record->term)
     return false;
-  /* The first later term bounds what is left of the position's own; a term
-     that the history skips was given up.  */
+  /* The start of the next listed term bounds the log that is left of the
+     position's term.  A term that is not listed was abandoned.  */
   for (size_t i = 0; i < record->start_count; i++)
     {
       if (record->starts[i].term <= position.term)
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -5,17 +5,17 @@
 
 #define RECORD_KEY TERMS_PREFIX "t/s/d"
 
-static const char *const three[] = { "d0", "d1", "d2", "d0", "d1" };
+static const char *const host_domains[] = { "d0", "d1", "d2", "d0", "d1" };
 static const char *const instance_domains[] = { "d0", "d1", "d2" };
 
 static struct sim_control control;
 static struct load_writer *writer;
 
-/* Five hosts in three domains; the primary is "a", in d0.  */
+/* Five hosts in host_domains domains; the primary is "a", in d0.  */
 static void
 setup (void)
 {
-  sim_control_init (&control, 11, 5, three);
+  sim_control_init (&control, 11, 5, host_domains);
   sim_control_database (&control, instance_domains);
   sim_control_start_all (&control);
   sim_run (&control.sim, 4000);
@@ -50,9 +50,9 @@
   return NULL;
 }
 
-/* Whether the writer's acknowledgements go on.  */
+/* Checks that writes are still acknowledged and none is lost.  */
 static void
-check_writes_go_on (clk_ms span_ms)
+check_writes_continue (clk_ms span_ms)
 {
   size_t before = load_writer_acknowledged (writer);
   sim_run (&control.sim, span_ms);
@@ -68,7 +68,7 @@
   ck_assert_int_eq (record.state, TERM_ACTIVE);
 }
 
-/* Index of the host that is the first coordinator.  */
+/* Returns the index of the host that is the first coordinator.  */
 static size_t
 coordinator (void)
 {
@@ -81,7 +81,7 @@
 {
   check_term (1);
   ck_assert_str_eq (platform_record ().primary, "t/s/d/a");
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
 UNIT_TEST (test_a_dead_primary_is_replaced)
@@ -91,16 +91,16 @@
   check_term (2);
   ck_assert_ptr_ne (primary (), control.instances[0]);
   ck_assert_int_le (load_writer_gap_ms (writer), 3000);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
-UNIT_TEST (test_a_frozen_primary_is_replaced_and_follows_when_it_wakes)
+UNIT_TEST (test_a_frozen_primary_is_replaced_and_follows_when_it_resumes)
 {
   sim_instance_freeze (control.instances[0], true);
   sim_run (&control.sim, 4000);
   check_term (2);
   sim_instance_freeze (control.instances[0], false);
-  check_writes_go_on (8000);
+  check_writes_continue (8000);
   struct db_report report = sim_instance_report (control.instances[0]);
   ck_assert (!report.primary);
   ck_assert (report.receiving);
@@ -113,15 +113,15 @@
   sim_run (&control.sim, 8000);
   check_term (2);
   sim_instance_isolate (control.instances[0], false);
-  check_writes_go_on (12000);
+  check_writes_continue (12000);
   ck_assert (!sim_instance_report (control.instances[0]).primary);
   ck_assert (sim_instance_report (control.instances[0]).receiving);
 }
 
-UNIT_TEST (test_a_primary_that_one_domain_can_not_reach_stays)
+UNIT_TEST (test_a_primary_that_only_one_domain_can_not_reach_stays)
 {
   for (size_t i = 0; i < 5; i++)
-    if (strcmp (three[i], "d1") == 0)
+    if (strcmp (host_domains[i], "d1") == 0)
       sim_gate_cut (&control.gate, i, 0, true);
   sim_run (&control.sim, 20000);
   check_term (1);
@@ -133,18 +133,19 @@
   sim_instance_kill (control.instances[0]);
   sim_run (&control.sim, 20000);
   ck_assert_uint_eq (platform_record ().term, 1);
-  bool said = false;
+  bool is_reported = false;
   for (size_t i = 0; i < 5; i++)
     {
       char *status = failover_status (control.failovers[i]);
-      said = said || strstr (status, "\"waits_for_platform\":true") != NULL;
+      is_reported = is_reported
+                    || strstr (status, "\"waits_for_platform\":true") != NULL;
       free (status);
     }
-  ck_assert (said);
+  ck_assert (is_reported);
   control.platform.outage = false;
   sim_run (&control.sim, 4000);
   check_term (2);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
 UNIT_TEST (test_a_primary_that_returns_during_an_outage_is_kept)
@@ -157,29 +158,29 @@
   control.platform.outage = false;
   sim_run (&control.sim, 5000);
   check_term (1);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
-UNIT_TEST (test_no_claim_is_made_that_can_not_be_sealed)
+UNIT_TEST (test_no_term_is_claimed_while_too_few_instances_can_be_sealed)
 {
-  /* The primary and a replica are on one side, all hosts but those of their
-     domains on the other.  */
+  /* No coordinator reaches the primary and one of the replicas; the writer
+     still does.  */
   for (size_t i = 0; i < 5; i++)
     for (size_t j = 0; j < 2; j++)
       sim_gate_cut (&control.gate, i, j, true);
   sim_run (&control.sim, 10000);
   check_term (1);
   ck_assert_uint_gt (load_writer_acknowledged (writer), 0);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
   for (size_t i = 0; i < 5; i++)
     sim_gate_cut (&control.gate, i, 1, false);
   sim_run (&control.sim, 5000);
   check_term (2);
 }
 
-/* Loses the answer of the Nth write after the primary's death.  */
+/* Loses the platform's reply to the Nth write after the primary has failed. */
 static void
-lose_nth_answer (int n)
+lose_nth_reply (int n)
 {
   sim_instance_kill (control.instances[0]);
   uint64_t writes = control.platform.writes;
@@ -194,14 +195,17 @@
   control.platform.lose_next_answer = false;
   sim_run (&control.sim, 4000);
   check_term (2);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
-UNIT_LOOP (test_a_lost_answer_is_read_back, 1, 4) { lose_nth_answer (_i); }
+UNIT_LOOP (test_a_write_whose_reply_is_lost_is_read_back, 1, 4)
+{
+  lose_nth_reply (_i);
+}
 
-/* Kills the coordinator that acts when the record is in the state given.  */
+/* Kills the coordinator of the promotion once the record is in STATE.  */
 static void
-kill_coordinator_in (enum term_state state)
+kill_coordinator_in_state (enum term_state state)
 {
   sim_instance_kill (control.instances[0]);
   struct term_record record;
@@ -222,17 +226,18 @@
       }
   sim_run (&control.sim, 8000);
   ck_assert_int_eq (platform_record ().state, TERM_ACTIVE);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
-UNIT_LOOP (test_another_host_finishes_a_half_done_attempt, 0, 2)
+UNIT_LOOP (test_another_host_completes_an_abandoned_promotion, 0, 2)
 {
   static const enum term_state states[] = { TERM_SEALING, TERM_CHOSEN };
-  kill_coordinator_in (states[_i]);
+  kill_coordinator_in_state (states[_i]);
 }
 
-/* Pauses the coordinator at each step and lets it go on much later.  */
-UNIT_LOOP (test_a_paused_coordinator_that_wakes_does_no_harm, 0, 30)
+/* Pauses the coordinator at different points of a promotion and resumes it
+   after another host has completed the promotion.  */
+UNIT_LOOP (test_a_resumed_coordinator_does_not_interfere, 0, 30)
 {
   size_t paused = coordinator ();
   sim_instance_kill (control.instances[0]);
@@ -245,10 +250,10 @@
   control.sim.hosts[paused].paused = false;
   sim_run (&control.sim, 5000);
   ck_assert_int_eq (platform_record ().state, TERM_ACTIVE);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
-UNIT_TEST (test_a_chosen_instance_that_dies_leads_to_a_new_term)
+UNIT_TEST (test_a_chosen_instance_that_fails_leads_to_a_new_term)
 {
   sim_instance_kill (control.instances[0]);
   struct term_record record;
@@ -263,23 +268,23 @@
   struct sim_instance *chosen = primary ();
   sim_instance_kill (chosen);
   sim_run (&control.sim, 10000);
-  /* One instance of three is left: no choice is safe.  */
+  /* One instance of host_domains is left, so no promotion is safe.  */
   ck_assert_uint_ge (platform_record ().term, 3);
   ck_assert_int_eq (platform_record ().state, TERM_SEALING);
   sim_instance_restart (chosen);
   sim_run (&control.sim, 8000);
   ck_assert_int_eq (platform_record ().state, TERM_ACTIVE);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
 static void
-keep_answer (void *arg, bool ok, const char *message)
+store_result (void *arg, bool ok, const char *message)
 {
   (void)message;
   *(int *)arg = ok ? 1 : 0;
 }
 
-/* Lets the service have a kind that the primary alone acknowledges.  */
+/* Configures a kind of request that the primary alone acknowledges.  */
 static void
 add_primary_kind (void)
 {
@@ -295,7 +300,7 @@
   sim_run (&control.sim, 1000);
 }
 
-UNIT_TEST (test_the_ack_window_is_waited_out_if_a_kind_needs_it)
+UNIT_TEST (test_activation_waits_until_old_views_of_the_term_expire)
 {
   add_primary_kind ();
   sim_instance_kill (control.instances[0]);
@@ -305,62 +310,65 @@
   while (platform_record ().state != TERM_ACTIVE)
     sim_run (&control.sim, 1);
   ck_assert_int_ge (control.sim.clk.now_ms - claimed_ms, TERM_VIEW_MAX_AGE_MS);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
-UNIT_TEST (test_no_window_is_waited_out_once_the_old_primary_is_sealed)
+UNIT_TEST (test_activation_does_not_wait_once_the_old_primary_is_sealed)
 {
-  int answer = -1;
+  int result = -1;
   add_primary_kind ();
   load_writer_reset_gap (writer);
-  failover_order (control.failovers[1], "t/s/d", NULL, keep_answer, &answer);
+  failover_order (control.failovers[1], "t/s/d", NULL, store_result, &result);
   sim_run (&control.sim, 2000);
-  ck_assert_int_eq (answer, 1);
+  ck_assert_int_eq (result, 1);
   ck_assert_int_le (load_writer_gap_ms (writer), 500);
 }
 
-UNIT_TEST (test_an_ordered_switch_over_is_short_and_loses_nothing)
+UNIT_TEST (test_a_planned_switch_over_is_short_and_loses_nothing)
 {
-  int answer = -1;
+  int result = -1;
   load_writer_reset_gap (writer);
-  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", keep_answer,
-                  &answer);
+  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", store_result,
+                  &result);
   sim_run (&control.sim, 2000);
-  ck_assert_int_eq (answer, 1);
+  ck_assert_int_eq (result, 1);
   check_term (2);
   ck_assert_ptr_eq (primary (), control.instances[2]);
   ck_assert_int_le (load_writer_gap_ms (writer), 500);
-  check_writes_go_on (1000);
+  check_writes_continue (1000);
 }
 
-/* At any moment between two probes of the replica that becomes primary.  */
+/* Replicas are probed less often than the primary.  The new primary must not
+   be suspected because its last answer is older than the limit for a primary.
+   The switch-over starts at different times between two probes.  */
 UNIT_LOOP (test_a_new_primary_is_not_suspected_at_once, 0, 10)
 {
-  int answer = -1;
+  int result = -1;
   size_t host = 0;
-  while (failover_guards (control.failovers[host]) > 0)
+  while (failover_coordinated_count (control.failovers[host]) > 0)
     host++;
   sim_run (&control.sim, (clk_ms)100 * _i);
-  failover_order (control.failovers[host], "t/s/d", NULL, keep_answer,
-                  &answer);
+  failover_order (control.failovers[host], "t/s/d", NULL, store_result,
+                  &result);
   sim_run (&control.sim, 5000);
-  ck_assert_int_eq (answer, 1);
+  ck_assert_int_eq (result, 1);
   check_term (2);
 }
 
-UNIT_LOOP (test_two_orders_at_once_have_one_winner, 0, 2)
+UNIT_LOOP (test_one_of_two_concurrent_switch_overs_succeeds, 0, 2)
 {
-  int answers[2] = { -1, -1 };
-  /* Once they hear of each other, once only the platform decides.  */
+  int results[2] = { -1, -1 };
+  /* In the second run the two hosts are isolated, so that only the platform
+     decides between them.  */
   for (size_t i = 0; i < 5 && _i == 1; i++)
     {
       sim_control_cut (&control, 1, i, i != 1);
       sim_control_cut (&control, 2, i, i != 2);
     }
-  failover_order (control.failovers[1], "t/s/d", "t/s/d/b", keep_answer,
-                  &answers[0]);
-  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", keep_answer,
-                  &answers[1]);
+  failover_order (control.failovers[1], "t/s/d", "t/s/d/b", store_result,
+                  &results[0]);
+  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", store_result,
+                  &results[1]);
   sim_run (&control.sim, 500);
   for (size_t i = 0; i < 5; i++)
     {
@@ -368,48 +376,48 @@
       sim_control_cut (&control, 2, i, false);
     }
   sim_run (&control.sim, 2500);
-  ck_assert_int_eq (answers[0] + answers[1], 1);
+  ck_assert_int_eq (results[0] + results[1], 1);
   check_term (2);
-  ck_assert_ptr_eq (primary (), control.instances[answers[0] == 1 ? 1 : 2]);
-  check_writes_go_on (1000);
+  ck_assert_ptr_eq (primary (), control.instances[results[0] == 1 ? 1 : 2]);
+  check_writes_continue (1000);
 }
 
-UNIT_TEST (test_orders_that_make_no_sense_are_refused)
+UNIT_TEST (test_invalid_switch_overs_are_refused)
 {
   static const char *const targets[] = { "t/s/d/a", "t/s/d/x" };
-  int answer;
+  int result;
   for (size_t i = 0; i < 2; i++)
     {
-      answer = -1;
-      failover_order (control.failovers[1], "t/s/d", targets[i], keep_answer,
-                      &answer);
-      ck_assert_int_eq (answer, -1);
+      result = -1;
+      failover_order (control.failovers[1], "t/s/d", targets[i], store_result,
+                      &result);
+      ck_assert_int_eq (result, -1);
       sim_run (&control.sim, 100);
-      ck_assert_int_eq (answer, 0);
+      ck_assert_int_eq (result, 0);
     }
-  answer = -1;
-  failover_order (control.failovers[1], "t/s/none", NULL, keep_answer,
-                  &answer);
+  result = -1;
+  failover_order (control.failovers[1], "t/s/none", NULL, store_result,
+                  &result);
   sim_run (&control.sim, 100);
-  ck_assert_int_eq (answer, 0);
+  ck_assert_int_eq (result, 0);
   check_term (1);
 }
 
 UNIT_TEST (test_a_hold_forbids_promotions_until_it_is_lifted)
 {
-  int answer = -1;
-  failover_hold (control.failovers[0], "t/s/d", true, keep_answer, &answer);
+  int result = -1;
+  failover_hold (control.failovers[0], "t/s/d", true, store_result, &result);
   sim_run (&control.sim, 500);
-  ck_assert_int_eq (answer, 1);
+  ck_assert_int_eq (result, 1);
   sim_instance_kill (control.instances[0]);
   sim_run (&control.sim, 10000);
   check_term (1);
-  failover_hold (control.failovers[3], "t/s/d", false, keep_answer, &answer);
+  failover_hold (control.failovers[3], "t/s/d", false, store_result, &result);
   sim_run (&control.sim, 4000);
   check_term (2);
 }
 
-UNIT_TEST (test_changes_close_to_each_other_are_held_back)
+UNIT_TEST (test_frequent_failovers_are_damped)
 {
   sim_instance_kill (control.instances[0]);
   sim_run (&control.sim, 3000);
@@ -424,11 +432,11 @@
       sim_instance_restart (victim);
       sim_run (&control.sim, 4000);
     }
-  /* Four deaths in 24 s: without the pause there would be a term each.  */
+  /* Four failures in 24 s: without flap damping each would start a term.  */
   ck_assert_uint_le (platform_record ().term, 5);
 }
 
-UNIT_TEST (test_calls_to_the_platform_for_one_failover_are_few)
+UNIT_TEST (test_a_failover_takes_three_platform_writes)
 {
   uint64_t writes = control.platform.writes;
   sim_instance_kill (control.instances[0]);
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -13,7 +13,7 @@
 static struct members *members;
 static struct platform_host hosts[HOSTS];
 
-/* Three domains with a third of the hosts each; this host is the first.  */
+/* Spreads the hosts over three domains; this host is the first.  */
 static void
 setup (void)
 {
@@ -99,7 +99,7 @@
   ck_assert_int_lt (had, 4 * KEYS / HOSTS);
 }
 
-UNIT_TEST (test_placement_keeps_to_the_domain_and_spreads_over_domains)
+UNIT_TEST (test_placement_stays_in_the_domain_or_spreads_over_domains)
 {
   const struct member *out[HOSTS];
   size_t found = members_place (members, "k", "domain-1", out, HOSTS);
@@ -116,20 +116,20 @@
     ck_assert_ptr_ne (out[3], out[i]);
 }
 
-UNIT_TEST (test_changes_are_told_until_there_are_too_many)
+UNIT_TEST (test_changes_are_listed_up_to_the_limit)
 {
   uint64_t changed[MEMBERS_CHANGES];
   size_t count;
   uint64_t generation = members_generation (members);
   members_leaving (members, "host-007", 107);
   members_set_list (members, 6, hosts, HOSTS - 1);
-  ck_assert (members_changed (members, generation, changed, &count));
+  ck_assert (members_changes_since (members, generation, changed, &count));
   ck_assert_uint_eq (count, 2);
   ck_assert_uint_eq (changed[0],
                      members_hash (members_find (members, "host-007")));
   for (uint64_t i = 0; i < 10; i++)
     members_set_list (members, 7 + i, hosts, i % 2 == 0 ? 1 : HOSTS);
-  ck_assert (!members_changed (members, generation, changed, &count));
+  ck_assert (!members_changes_since (members, generation, changed, &count));
 }
 
 UNIT_TEST (test_a_host_that_fails_is_suspected_for_a_while)
@@ -137,48 +137,48 @@
   char name[NAME_BYTES];
   memcpy (name, first_for ("k")->address.name, NAME_BYTES);
   for (int i = 0; i < 3; i++)
-    members_failed (members, name);
+    members_record_failure (members, name);
   ck_assert (members_find (members, name)->suspected);
   ck_assert_str_ne (first_for ("k")->address.name, name);
-  /* It still comes last, as the suspicion may be wrong.  */
+  /* It is placed last rather than left out, as the suspicion may be wrong.  */
   const struct member *all[HOSTS];
   ck_assert_uint_eq (members_place (members, "k", NULL, all, HOSTS), HOSTS);
   ck_assert_str_eq (all[HOSTS - 1]->address.name, name);
   advance (2000);
   ck_assert_str_eq (first_for ("k")->address.name, name);
-  /* One more failure is enough now, and lasts longer.  */
-  members_failed (members, name);
+  /* Now one more failure is enough, and the suspicion lasts longer.  */
+  members_record_failure (members, name);
   advance (2000);
   ck_assert (members_find (members, name)->suspected);
-  members_answered (members, name);
+  members_record_answer (members, name);
   ck_assert (!members_find (members, name)->suspected);
 }
 
-UNIT_TEST (test_failures_with_answers_between_are_no_suspicion)
+UNIT_TEST (test_failures_between_answers_cause_no_suspicion)
 {
   for (int i = 0; i < 10; i++)
     {
-      members_failed (members, "host-007");
-      members_failed (members, "host-007");
-      members_answered (members, "host-007");
+      members_record_failure (members, "host-007");
+      members_record_failure (members, "host-007");
+      members_record_answer (members, "host-007");
     }
   ck_assert (!members_find (members, "host-007")->suspected);
-  members_failed (members, "host-007");
+  members_record_failure (members, "host-007");
   advance (1000);
-  members_failed (members, "host-007");
+  members_record_failure (members, "host-007");
   ck_assert (members_find (members, "host-007")->suspected);
 }
 
 UNIT_TEST (test_a_new_incarnation_is_another_host)
 {
   for (int i = 0; i < 3; i++)
-    members_failed (members, "host-005");
+    members_record_failure (members, "host-005");
   members_leaving (members, "host-006", 106);
   members_leaving (members, "host-007", 99);
   ck_assert (members_find (members, "host-005")->suspected);
   ck_assert (members_find (members, "host-006")->leaving);
   ck_assert (!members_find (members, "host-007")->leaving);
-  /* The platform's list lags: it does not lift the mark.  */
+  /* The platform's list lags, so it does not undo the announcement.  */
   members_set_list (members, 6, hosts, HOSTS);
   ck_assert (members_find (members, "host-006")->leaving);
   hosts[5].incarnation = hosts[6].incarnation = 900;
--- a/tests/unit/test_terms.c
+++ b/tests/unit/test_terms.c
@@ -49,7 +49,7 @@
   terms_set (terms, database, index, &record);
 }
 
-UNIT_TEST (test_a_record_never_goes_back)
+UNIT_TEST (test_older_records_are_ignored)
 {
   set ("t/s/d", 10, 3);
   set ("t/s/d", 10, 4);
@@ -65,8 +65,8 @@
 }
 
 static void
-check_order (void *arg, const char *database, uint64_t index,
-             const struct term_record *record)
+check_switch_over (void *arg, const char *database, uint64_t index,
+                   const struct term_record *record)
 {
   (void)database;
   (void)record;
@@ -75,7 +75,7 @@
   ++*(size_t *)arg;
 }
 
-UNIT_TEST (test_records_come_by_rising_index)
+UNIT_TEST (test_records_are_listed_by_ascending_index)
 {
   size_t count = 0;
   set ("t/s/a", 10, 1);
@@ -83,12 +83,12 @@
   set ("t/s/c", 20, 1);
   set ("t/s/a", 25, 2);
   last_index = 0;
-  terms_each (terms, check_order, &count);
+  terms_each (terms, check_switch_over, &count);
   ck_assert_uint_eq (count, 3);
   last_index = 20;
-  terms_each_since (terms, 20, check_order, &count);
+  terms_each_since (terms, 20, check_switch_over, &count);
   ck_assert_uint_eq (count, 5);
-  terms_each_since (terms, 30, check_order, &count);
+  terms_each_since (terms, 30, check_switch_over, &count);
   ck_assert_uint_eq (count, 5);
 }
 
@@ -112,7 +112,7 @@
   ck_assert_str_eq (back.attempt, record.attempt);
   ck_assert_uint_eq (back.start_count, 2);
   ck_assert_uint_eq (back.starts[1].lsn, 1ULL << 60);
-  /* Every shorter text is malformed.  */
+  /* Every truncated text is malformed.  */
   for (size_t length = 0; length < strlen (json); length++)
     ck_assert (!term_record_parse (json, length, &back));
   free (json);
@@ -138,9 +138,9 @@
     ck_assert (!term_record_parse (bad[i], strlen (bad[i]), &record));
 }
 
-UNIT_TEST (test_history_tells_what_work_is_left)
+UNIT_TEST (test_history_shows_which_log_is_left)
 {
-  /* Term 4 was given up; term 5 goes on from term 3.  */
+  /* Term 4 was abandoned; term 5 continues the log of term 3.  */
   struct term_record record = {
     .term = 6,
     .start_count = 3,
@@ -149,7 +149,7 @@
   const struct
   {
     struct position position;
-    bool holds;
+    bool contained;
   } cases[] = {
     { { 2, 100 }, true },  { { 2, 101 }, false }, { { 3, 200 }, true },
     { { 3, 201 }, false }, { { 4, 150 }, false }, { { 4, 50 }, false },
@@ -158,7 +158,7 @@
   };
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     ck_assert_msg (term_record_holds (&record, cases[i].position)
-                       == cases[i].holds,
+                       == cases[i].contained,
                    "case %zu", i);
   struct term_record fresh = { .term = 2 };
   ck_assert (term_record_holds (&fresh, (struct position){ 1, 5 }));
