--- a/src/core/acks.c
+++ b/src/core/acks.c
@@ -78,7 +78,7 @@
     if (acks_reached (wait, report))
       complete (acks, wait, ACK_REACHED);
     else if (has_term_changed (wait, report))
-      complete (acks, wait, ACK_TERM_MOVED);
+      complete (acks, wait, ACK_TERM_CHANGED);
   }
 }
 
--- a/src/core/acks.h
+++ b/src/core/acks.h
@@ -23,7 +23,7 @@
 enum ack_result
 {
   ACK_REACHED,
-  ACK_TERM_MOVED, /* the instance is not primary of that term any more */
+  ACK_TERM_CHANGED, /* the instance is not primary of that term any more */
   ACK_TIMEOUT
 };
 
--- a/src/core/failover.h
+++ b/src/core/failover.h
@@ -28,15 +28,15 @@
    global names), or to any other instance that has all writes if TARGET is
    NULL.  Works on every host.  Writes in progress finish first.  DONE is
    called once, never from within this call.  */
-void failover_order (struct failover *failover, const char *database,
-                     const char *target, failover_done done, void *arg);
+void failover_switch_over (struct failover *failover, const char *database,
+                           const char *target, failover_done done, void *arg);
 
 /* Forbids (HOLD is true) or allows automatic promotions of DATABASE; planned
    switch-overs stay possible.  The ban is part of the term record, so it
    applies to all hosts.  DONE is called once, never from within this
    call.  */
-void failover_hold (struct failover *failover, const char *database, bool hold,
-                    failover_done done, void *arg);
+void failover_set_hold (struct failover *failover, const char *database,
+                        bool hold, failover_done done, void *arg);
 
 /* Returns the state of all databases that this host monitors, as a JSON
    array; the caller frees it.  */
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -86,8 +86,8 @@
 
 /* Records that a host has announced that it is leaving.  Ignored if the member
    NAME is of another incarnation.  */
-void members_leaving (struct members *members, const char *name,
-                      uint64_t incarnation);
+void members_mark_leaving (struct members *members, const char *name,
+                           uint64_t incarnation);
 
 /* Writes to OUT up to COUNT members in rendezvous order of KEY: those in the
    failure domain DOMAIN, or in all if DOMAIN is NULL.  Suspected and leaving
--- a/src/core/monitor.c
+++ b/src/core/monitor.c
@@ -285,7 +285,7 @@
       || now (monitor) < monitor->changed_ms + flap_delay (monitor)
       || !can_seal (monitor))
     return;
-  metrics_count (kernel_metrics (monitor->env->kernel), "failovers_total");
+  metrics_increment (kernel_metrics (monitor->env->kernel), "failovers_total");
   promotion_start (monitor, record->term + 1);
 }
 
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -27,8 +27,8 @@
 struct module *peers_module (struct peers *peers);
 
 /* Registers HANDLER for requests of KIND; replaces an earlier handler.  */
-void peers_handle (struct peers *peers, peer_kind kind, peers_handler handler,
-                   void *arg);
+void peers_register_handler (struct peers *peers, peer_kind kind,
+                             peers_handler handler, void *arg);
 
 /* Sends BODY to the host TO.  If the incarnation of TO is 0, a reply from any
    host at its address is accepted.  DONE is called once, never from within
--- a/src/core/promotion.c
+++ b/src/core/promotion.c
@@ -129,9 +129,9 @@
   struct promotion *p = &monitor->promotion;
   promotion_done done = p->done;
   void *arg = p->arg;
-  metrics_count (kernel_metrics (monitor->env->kernel),
-                 ok ? "promotions_total{result=\"done\"}"
-                    : "promotions_total{result=\"stopped\"}");
+  metrics_increment (kernel_metrics (monitor->env->kernel),
+                     ok ? "promotions_total{result=\"done\"}"
+                        : "promotions_total{result=\"stopped\"}");
   memset (p, 0, sizeof *p);
   if (done != NULL)
     done (arg, ok, message);
--- a/src/core/seal.c
+++ b/src/core/signed_token.c
@@ -1,10 +1,10 @@
-#include "core/seal.h"
+#include "core/signed_token.h"
 
 #include <string.h>
 
 #include <sodium.h>
 
-#define TOKEN_BYTES (SEAL_DATA_BYTES + crypto_auth_BYTES)
+#define TOKEN_BYTES (SIGNED_TOKEN_DATA_BYTES + crypto_auth_BYTES)
 /* Longer than any encoded token; bounds the length of input that is read.  */
 #define TEXT_LIMIT_BYTES ((size_t)2 * TOKEN_BYTES)
 #define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
@@ -19,11 +19,12 @@
 }
 
 static void
-authenticate (const struct seal_context *context, const uint8_t *data,
+authenticate (const struct signed_token_context *context, const uint8_t *data,
               size_t data_bytes, uint8_t *mac)
 {
   crypto_auth_hmacsha512256_state state;
-  crypto_auth_hmacsha512256_init (&state, context->key, SEAL_KEY_BYTES);
+  crypto_auth_hmacsha512256_init (&state, context->key,
+                                  SIGNED_TOKEN_KEY_BYTES);
   update_text (&state, context->purpose);
   update_text (&state, context->service);
   update_text (&state, context->caller);
@@ -32,12 +33,13 @@
 }
 
 bool
-seal_write (const struct seal_context *context, const uint8_t *data,
-            size_t data_bytes, char *out, size_t out_bytes)
+signed_token_encode (const struct signed_token_context *context,
+                     const uint8_t *data, size_t data_bytes, char *out,
+                     size_t out_bytes)
 {
   uint8_t token[TOKEN_BYTES];
   size_t token_bytes = data_bytes + crypto_auth_BYTES;
-  if (data_bytes > SEAL_DATA_BYTES)
+  if (data_bytes > SIGNED_TOKEN_DATA_BYTES)
     return false;
   if (sodium_base64_encoded_len (token_bytes, BASE64_VARIANT) > out_bytes)
     return false;
@@ -48,8 +50,8 @@
 }
 
 bool
-seal_read (const struct seal_context *context, const char *text, uint8_t *data,
-           size_t *data_bytes)
+signed_token_decode (const struct signed_token_context *context,
+                     const char *text, uint8_t *data, size_t *data_bytes)
 {
   uint8_t token[TOKEN_BYTES];
   uint8_t mac[crypto_auth_BYTES];
--- a/src/core/terms.c
+++ b/src/core/terms.c
@@ -158,10 +158,10 @@
 }
 
 void
-terms_watch (struct terms *terms,
-             void (*fn) (void *arg, const char *database,
-                         const struct term_record *record),
-             void *arg)
+terms_subscribe (struct terms *terms,
+                 void (*fn) (void *arg, const char *database,
+                             const struct term_record *record),
+                 void *arg)
 {
   struct term_subscriber *subscriber = mem_zalloc (sizeof *subscriber);
   subscriber->fn = fn;
@@ -283,7 +283,8 @@
 }
 
 bool
-term_record_holds (const struct term_record *record, struct position position)
+term_record_contains (const struct term_record *record,
+                      struct position position)
 {
   if (position.term > record->term)
     return false;
--- a/src/core/terms.h
+++ b/src/core/terms.h
@@ -71,10 +71,10 @@
                 const struct term_record *record);
 
 /* Subscribes FN to changes of all records.  */
-void terms_watch (struct terms *terms,
-                  void (*fn) (void *arg, const char *database,
-                              const struct term_record *record),
-                  void *arg);
+void terms_subscribe (struct terms *terms,
+                      void (*fn) (void *arg, const char *database,
+                                  const struct term_record *record),
+                      void *arg);
 
 /* Calls FN for each record whose index is above INDEX, in ascending order of
    the index.  */
@@ -103,7 +103,7 @@
 
 /* Returns whether log at POSITION is part of RECORD's history, that is, was
    not discarded by a later term.  */
-bool term_record_holds (const struct term_record *record,
-                        struct position position);
+bool term_record_contains (const struct term_record *record,
+                           struct position position);
 
 #endif
--- a/src/port/address.h
+++ b/src/port/address.h
@@ -17,7 +17,7 @@
 /* Notices within seconds that the peer of FD no longer answers.  */
 #define ADDRESS_KEEPALIVE_IDLE_S 1
 #define ADDRESS_KEEPALIVE_PROBES 2
-#define ADDRESS_UNANSWERED_MS 3000
+#define ADDRESS_USER_TIMEOUT_MS 3000
 void address_set_keepalive (evutil_socket_t fd);
 
 /* Returns the local port of a socket; 0 if it has none.  */
--- a/src/port/kv_codec.h
+++ b/src/port/kv_codec.h
@@ -5,7 +5,7 @@
 
 #include "port/platform_port.h"
 
-enum kv_verb
+enum kv_method
 {
   KV_GET,
   KV_PUT,
@@ -15,7 +15,7 @@
 
 struct kv_request
 {
-  enum kv_verb verb;
+  enum kv_method verb;
   char *uri;
   char *body; /* NULL if none; JSON */
 };
@@ -23,7 +23,7 @@
 void kv_request_clear (struct kv_request *request);
 
 /* A reply that owns what it points to.  */
-struct kv_answer
+struct kv_response
 {
   struct platform_reply reply;
   struct platform_item *items;
@@ -31,23 +31,23 @@
   char *lease;
 };
 
-void kv_answer_clear (struct kv_answer *answer);
+void kv_response_clear (struct kv_response *answer);
 
 /* Whether a call of KIND changes something.  */
-bool kv_call_writes (enum platform_call_kind kind);
+bool kv_call_is_write (enum platform_call_kind kind);
 
 /* What a call of KIND gets when no answer came after it was sent.  */
-enum platform_status kv_lost_status (enum platform_call_kind kind);
+enum platform_status kv_unanswered_status (enum platform_call_kind kind);
 
 /* Returns TEXT with all but the usual characters of keys percent-encoded;
    the caller frees it.  */
-char *kv_encode (const char *text);
+char *kv_percent_encode (const char *text);
 
 /* Returns BYTES bytes of DATA as base64; the caller frees it.  */
-char *kv_base64 (const char *data, size_t bytes);
+char *kv_base64_encode (const char *data, size_t bytes);
 
 /* Decodes base64 TEXT into the value of ITEM; false if it is malformed.  */
-bool kv_decode_value (struct platform_item *item, const char *text);
+bool kv_base64_decode_item (struct platform_item *item, const char *text);
 
 struct kv_codec
 {
@@ -55,7 +55,7 @@
   bool (*build) (struct kv_request *request, const struct platform_call *call);
   /* Fills ANSWER from an HTTP response to a call of KIND.  A body that can't
      be understood counts as no answer.  */
-  void (*parse) (struct kv_answer *answer, enum platform_call_kind kind,
+  void (*parse) (struct kv_response *answer, enum platform_call_kind kind,
                  int code, const char *index, const char *body, size_t length);
 };
 
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -318,7 +318,8 @@
   int result = -1;
   add_primary_kind ();
   load_writer_reset_gap (writer);
-  failover_order (control.failovers[1], "t/s/d", NULL, store_result, &result);
+  failover_switch_over (control.failovers[1], "t/s/d", NULL, store_result,
+                        &result);
   sim_run (&control.sim, 2000);
   ck_assert_int_eq (result, 1);
   ck_assert_int_le (load_writer_gap_ms (writer), 500);
@@ -328,8 +329,8 @@
 {
   int result = -1;
   load_writer_reset_gap (writer);
-  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", store_result,
-                  &result);
+  failover_switch_over (control.failovers[2], "t/s/d", "t/s/d/c", store_result,
+                        &result);
   sim_run (&control.sim, 2000);
   ck_assert_int_eq (result, 1);
   check_term (2);
@@ -348,8 +349,8 @@
   while (failover_coordinated_count (control.failovers[host]) > 0)
     host++;
   sim_run (&control.sim, (clk_ms)100 * _i);
-  failover_order (control.failovers[host], "t/s/d", NULL, store_result,
-                  &result);
+  failover_switch_over (control.failovers[host], "t/s/d", NULL, store_result,
+                        &result);
   sim_run (&control.sim, 5000);
   ck_assert_int_eq (result, 1);
   check_term (2);
@@ -365,10 +366,10 @@
       sim_control_cut (&control, 1, i, i != 1);
       sim_control_cut (&control, 2, i, i != 2);
     }
-  failover_order (control.failovers[1], "t/s/d", "t/s/d/b", store_result,
-                  &results[0]);
-  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", store_result,
-                  &results[1]);
+  failover_switch_over (control.failovers[1], "t/s/d", "t/s/d/b", store_result,
+                        &results[0]);
+  failover_switch_over (control.failovers[2], "t/s/d", "t/s/d/c", store_result,
+                        &results[1]);
   sim_run (&control.sim, 500);
   for (size_t i = 0; i < 5; i++)
     {
@@ -389,15 +390,15 @@
   for (size_t i = 0; i < 2; i++)
     {
       result = -1;
-      failover_order (control.failovers[1], "t/s/d", targets[i], store_result,
-                      &result);
+      failover_switch_over (control.failovers[1], "t/s/d", targets[i],
+                            store_result, &result);
       ck_assert_int_eq (result, -1);
       sim_run (&control.sim, 100);
       ck_assert_int_eq (result, 0);
     }
   result = -1;
-  failover_order (control.failovers[1], "t/s/none", NULL, store_result,
-                  &result);
+  failover_switch_over (control.failovers[1], "t/s/none", NULL, store_result,
+                        &result);
   sim_run (&control.sim, 100);
   ck_assert_int_eq (result, 0);
   check_term (1);
@@ -406,13 +407,15 @@
 UNIT_TEST (test_a_hold_forbids_promotions_until_it_is_lifted)
 {
   int result = -1;
-  failover_hold (control.failovers[0], "t/s/d", true, store_result, &result);
+  failover_set_hold (control.failovers[0], "t/s/d", true, store_result,
+                     &result);
   sim_run (&control.sim, 500);
   ck_assert_int_eq (result, 1);
   sim_instance_kill (control.instances[0]);
   sim_run (&control.sim, 10000);
   check_term (1);
-  failover_hold (control.failovers[3], "t/s/d", false, store_result, &result);
+  failover_set_hold (control.failovers[3], "t/s/d", false, store_result,
+                     &result);
   sim_run (&control.sim, 4000);
   check_term (2);
 }
