--- a/src/core/acks.h
+++ b/src/core/acks.h
@@ -69,8 +69,7 @@
 void acks_expire (struct acks *acks, clk_ms now_ms);
 
 /* Returns for how long no replica has confirmed more of the primary's log
-   although some is unconfirmed.  While all is confirmed, that is the time
-   since the latest report.  */
+   although some is unconfirmed; 0 at a report that shows all as confirmed.  */
 clk_ms acks_stalled_ms (const struct acks *acks, clk_ms now_ms);
 
 #endif
--- a/src/core/failover.c
+++ b/src/core/failover.c
@@ -151,13 +151,13 @@
 handle_suspicion (void *arg, uint64_t call, const peer_message *message)
 {
   struct failover *failover = arg;
-  const peer_suspicion *question = &message->body.peer_body_u.suspicion;
-  struct monitor *monitor = find_or_add_monitor (failover, question->database);
+  const peer_suspicion *request = &message->body.peer_body_u.suspicion;
+  struct monitor *monitor = find_or_add_monitor (failover, request->database);
   const struct term_record *record
-      = terms_get (failover->env.terms, question->database);
+      = terms_get (failover->env.terms, request->database);
   peer_body body = { .kind = PEER_KIND_SUSPICION };
   peer_suspicion *answer = &body.peer_body_u.suspicion;
-  answer->database = question->database;
+  answer->database = request->database;
   if (record != NULL)
     {
       answer->term = record->term;
--- a/src/core/failover.h
+++ b/src/core/failover.h
@@ -31,10 +31,10 @@
 void failover_switch_over (struct failover *failover, const char *database,
                            const char *target, failover_done done, void *arg);
 
-/* Forbids (HOLD is true) or allows automatic promotions of DATABASE; planned
-   switch-overs stay possible.  The ban is part of the term record, so it
-   applies to all hosts.  DONE is called once, never from within this
-   call.  */
+/* Forbids (HOLD is true) or allows automatic promotions of DATABASE: failovers
+   and the switch-over from a leaving primary.  failover_switch_over stays
+   possible.  The ban is part of the term record, so it applies to all hosts.
+   DONE is called once, never from within this call.  */
 void failover_set_hold (struct failover *failover, const char *database,
                         bool hold, failover_done done, void *arg);
 
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -30,7 +30,7 @@
   uint64_t hash;
   struct members *owner;
   struct host_domain *domain;
-  uint64_t list_seen;
+  uint64_t list_seen; /* list_number of the latest list that has the host */
   uint32_t failures;
   clk_ms failing_since_ms;
   clk_ms suspicion_ms;
@@ -56,7 +56,7 @@
   struct entry_list all; /* sorted by name */
   struct host_domain *domains;
   uint64_t index;
-  uint64_t list_number;
+  uint64_t list_number; /* counts the lists that were applied */
   uint64_t generation;
   uint64_t changes[MEMBERS_CHANGES]; /* ring buffer by generation:
                                         hash of the changed host */
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -60,10 +60,11 @@
 /* Number of changes that are kept for members_changes_since.  */
 #define MEMBERS_CHANGES 256
 
-/* Writes to OUT the hashes of the hosts that were added, removed or changed
-   since GENERATION, and their number to COUNT.  A host that changed several
-   times is listed several times.  Returns false if there were more than
-   MEMBERS_CHANGES changes: then any host may have changed.  */
+/* Writes to OUT the hashes of the hosts that were added or removed, or whose
+   address or usability changed, since GENERATION, and their number to COUNT.
+   A host that changed several times is listed several times.  Returns false if
+   there were more than MEMBERS_CHANGES changes: then any host may have
+   changed.  */
 bool members_changes_since (const struct members *members, uint64_t generation,
                             uint64_t out[MEMBERS_CHANGES], size_t *count);
 
--- a/src/core/promotion.c
+++ b/src/core/promotion.c
@@ -67,7 +67,8 @@
 }
 
 /* Initialises an attempt with a copy of the known record and a new attempt
-   id, and enters PHASE.  */
+   id, and enters PHASE.  Keeps the request of a planned switch-over, as its
+   attempt may restart in a higher term.  */
 static void
 begin (struct monitor *monitor, enum promotion_phase phase)
 {
@@ -282,11 +283,11 @@
 step_claim (struct monitor *monitor)
 {
   struct promotion *p = &monitor->promotion;
-  bool is_not_written = !p->read_back && p->call == 0;
-  if (is_not_written && p->planned
+  bool no_write_pending = !p->read_back && p->call == 0;
+  if (no_write_pending && p->planned
       && now (monitor) - p->started_ms > SWITCH_OVER_CLAIM_LIMIT_MS)
     promotion_stop (monitor, "the platform is unavailable");
-  else if (is_not_written && !p->planned && !monitor->suspected
+  else if (no_write_pending && !p->planned && !monitor->suspected
            && p->platform_down && p->next.term > monitor->record_term
            && monitor_record (monitor)->state == TERM_ACTIVE)
     promotion_stop (monitor, "the primary answers again");
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -36,6 +36,7 @@
 #include "port/db_port.h"
 #include "port/platform_port.h"
 
+/* Instances of one database that are monitored; further ones are ignored.  */
 #define MONITOR_MAX_INSTANCES 5
 
 enum promotion_phase
@@ -65,7 +66,7 @@
   clk_ms started_ms; /* start of the attempt */
   bool planned;
   char target[PATH_BYTES]; /* requested primary; empty for any */
-  promotion_done done;     /* NULL unless planned */
+  promotion_done done;     /* NULL if nothing waits for the result */
   void *arg;
 
   /* The write of the term record: platform index that it expects, and new
@@ -78,12 +79,12 @@
   bool platform_down;
 
   bool sealed[MONITOR_MAX_INSTANCES];
-  bool job_running[MONITOR_MAX_INSTANCES]; /* job of this attempt */
+  bool job_running[MONITOR_MAX_INSTANCES]; /* a job of this attempt runs */
   clk_ms job_due_ms[MONITOR_MAX_INSTANCES];
   struct db_report reports[MONITOR_MAX_INSTANCES];
-  uint64_t fence_lsn;
+  uint64_t fence_lsn; /* end of the log of the fenced old primary */
   bool fenced;
-  clk_ms activate_after_ms;
+  clk_ms activate_after_ms; /* earliest time of the write in ACTIVATE */
 };
 
 /* Starts an attempt at TERM, based on the record known to this host.  */
--- a/src/core/promotion_jobs.c
+++ b/src/core/promotion_jobs.c
@@ -202,13 +202,14 @@
     {
       if (!p->sealed[i])
         continue;
-      int order = best == monitor->instance_count
-                      ? 1
-                      : compare_history (&p->reports[i], &p->reports[best]);
+      int comparison
+          = best == monitor->instance_count
+                ? 1
+                : compare_history (&p->reports[i], &p->reports[best]);
       if (MUTANT (choose_any) && best != monitor->instance_count)
         continue;
-      if (order > 0
-          || (order == 0
+      if (comparison > 0
+          || (comparison == 0
               && preference (monitor, i) > preference (monitor, best)))
         best = i;
     }
@@ -250,7 +251,8 @@
              LOG_U ("log_term", report->term),
              LOG_U ("received_lsn", report->received_lsn),
              LOG_S ("replaced", p->next.primary));
-  /* A sealed old primary acknowledges nothing more.  */
+  /* A sealed old primary acknowledges no more writes, so the activation need
+     not wait.  */
   size_t old = monitor_find_instance (monitor, p->next.primary);
   if (old < monitor->instance_count && p->sealed[old])
     p->activate_after_ms = 0;
--- a/src/core/signed_token.c
+++ b/src/core/signed_token.c
@@ -4,7 +4,9 @@
 
 #include <sodium.h>
 
+/* Size of the longest token before its encoding: HMAC and data.  */
 #define TOKEN_BYTES (SIGNED_TOKEN_DATA_BYTES + crypto_auth_BYTES)
+
 /* Longer than any encoded token; bounds the length of input that is read.  */
 #define TEXT_LIMIT_BYTES ((size_t)2 * TOKEN_BYTES)
 #define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -11,7 +11,7 @@
 static struct sim_control control;
 static struct load_writer *writer;
 
-/* Five hosts in host_domains domains; the primary is "a", in d0.  */
+/* Five hosts in three domains; the primary is "a", in d0.  */
 static void
 setup (void)
 {
@@ -178,7 +178,7 @@
   check_term (2);
 }
 
-/* Loses the platform's reply to the Nth write after the primary has failed. */
+/* Loses the reply to the Nth platform write after the primary has failed.  */
 static void
 lose_nth_reply (int n)
 {
