--- a/src/port/address.c
+++ b/src/port/address.c
@@ -35,7 +35,7 @@
 static void
 set_option (evutil_socket_t fd, int level, int name, int value)
 {
-  /* A kernel without the option still serves, only slower to notice.  */
+  /* Best effort: without the option a dead peer is only detected later.  */
   (void)setsockopt (fd, level, name, &value, sizeof value);
 }
 
--- a/src/port/consul.c
+++ b/src/port/consul.c
@@ -13,11 +13,20 @@
 #include "port/address.h"
 #include "port/consul_codec.h"
 
-/* Calls that may wait for a connection or for the rate limit.  */
+/* Limit on calls that wait for a connection or for the rate limit.  Calls
+   beyond it fail as unavailable.  */
 #define QUEUE_LIMIT 4096
+
 #define BODY_LIMIT_BYTES 67108864
+
+/* Timeout of libevent's connections.  Each call has its own timer, so this
+   one must not expire before any of them.  */
 #define SOCKET_TIMEOUT_S 86400
+
+/* The rate limiter saves up the permits of this many seconds.  */
 #define BURST_SECONDS 2
+
+/* Timeout of calls that have none.  */
 #define DEFAULT_TIMEOUT_MS 5000
 
 struct consul;
@@ -27,7 +36,7 @@
   struct consul *consul;
   struct evhttp_connection *http;
   struct consul_call *call; /* NULL while idle */
-  bool sent;                /* bytes of the call have left */
+  bool sent;                /* part of the call has been sent */
 };
 
 struct consul_call
@@ -36,7 +45,7 @@
   uint64_t id;
   enum platform_call_kind kind;
   struct kv_request request;
-  bool unsendable;
+  bool unsendable; /* the codec rejected the call */
   platform_done done;
   void *arg;
   struct event *timer;
@@ -65,13 +74,13 @@
   struct consul_call *queue_head;
   struct consul_call **queue_tail;
   size_t queue_length;
-  struct event *pump;
-  double allowance; /* calls that may start now */
-  double refilled_s;
+  struct event *dispatch; /* sends queued calls */
+  double permits;         /* of the rate limiter: calls that may be sent now */
+  double refilled_s;      /* time of the last refill of permits */
   uint64_t next_id;
 };
 
-static const enum evhttp_cmd_type verbs[] = {
+static const enum evhttp_cmd_type methods[] = {
   [KV_GET] = EVHTTP_REQ_GET,
   [KV_PUT] = EVHTTP_REQ_PUT,
   [KV_POST] = EVHTTP_REQ_POST,
@@ -95,7 +104,7 @@
   [PLATFORM_COMPACTED] = "compacted",
 };
 
-/* Counts in platform_FAMILY_total{purpose, LABEL=VALUE}.  */
+/* Increments platform_FAMILY_total{purpose, LABEL=VALUE}.  */
 static void
 count (struct consul *self, const struct consul_call *call, const char *family,
        const char *label, const char *value)
@@ -108,16 +117,17 @@
   free (name);
 }
 
+/* Runs on_dispatch after DELAY_S seconds.  */
 static void
-wake (struct consul *self, double delay_s)
+schedule_dispatch (struct consul *self, double delay_s)
 {
   struct timeval delay = { .tv_sec = (time_t)delay_s };
   delay.tv_usec = (suseconds_t)((delay_s - (double)delay.tv_sec) * 1e6);
-  event_add (self->pump, &delay);
+  event_add (self->dispatch, &delay);
 }
 
 static void
-unqueue (struct consul *self, struct consul_call *call)
+dequeue (struct consul *self, struct consul_call *call)
 {
   struct consul_call **at = &self->queue_head;
   while (*at != NULL && *at != call)
@@ -135,7 +145,7 @@
 {
   struct consul *self = call->consul;
   HASH_DEL (self->calls, call);
-  unqueue (self, call);
+  dequeue (self, call);
   if (call->conn != NULL)
     call->conn->call = NULL;
   event_free (call->timer);
@@ -143,7 +153,7 @@
   free (call->purpose);
   free (call);
   if (self->queue_head != NULL)
-    wake (self, 0);
+    schedule_dispatch (self, 0);
 }
 
 static void
@@ -163,9 +173,9 @@
   finish (call, &reply);
 }
 
-/* Ends the exchange of CALL, if one has begun, without a callback.  */
+/* Cancels the HTTP exchange of CALL, if there is one, without a callback.  */
 static void
-abandon (struct consul_call *call)
+cancel_exchange (struct consul_call *call)
 {
   struct evhttp_request *http = call->http;
   call->http = NULL;
@@ -184,12 +194,12 @@
     status = PLATFORM_REJECTED;
   else if (call->conn != NULL && call->conn->sent)
     status = kv_lost_status (call->kind);
-  abandon (call);
+  cancel_exchange (call);
   finish_status (call, status);
 }
 
-/* evhttp passes a NULL request if the exchange broke off, and one without a
-   response code if no connection could be made.  */
+/* evhttp passes a NULL request if the connection failed during the exchange,
+   and one without a response code if no connection could be opened.  */
 static void
 on_response (struct evhttp_request *http, void *arg)
 {
@@ -209,15 +219,15 @@
       finish_status (call, PLATFORM_UNAVAILABLE);
       return;
     }
-  struct kv_answer answer;
+  struct kv_answer response;
   struct evbuffer *body = evhttp_request_get_input_buffer (http);
   struct evkeyvalq *headers = evhttp_request_get_input_headers (http);
-  conn->consul->codec->parse (&answer, call->kind, code,
+  conn->consul->codec->parse (&response, call->kind, code,
                               evhttp_find_header (headers, "X-Consul-Index"),
                               (const char *)evbuffer_pullup (body, -1),
                               evbuffer_get_length (body));
-  finish (call, &answer.reply);
-  kv_answer_clear (&answer);
+  finish (call, &response.reply);
+  kv_answer_clear (&response);
 }
 
 static void
@@ -259,7 +269,7 @@
 }
 
 static void
-start (struct consul_call *call, struct consul_conn *conn)
+send_call (struct consul_call *call, struct consul_conn *conn)
 {
   struct consul *self = call->consul;
   struct evhttp_request *http = evhttp_request_new (on_response, conn);
@@ -279,7 +289,7 @@
   conn->call = call;
   conn->sent = false;
   uint64_t id = call->id;
-  enum evhttp_cmd_type type = verbs[call->request.verb];
+  enum evhttp_cmd_type type = methods[call->request.verb];
   if (evhttp_make_request (conn->http, http, type, call->request.uri) == 0)
     {
       address_set_keepalive (
@@ -301,23 +311,24 @@
   return (double)now.tv_sec + (double)now.tv_nsec / 1e9;
 }
 
-/* Returns how long the next call must wait for its turn, in seconds.  */
+/* Takes one permit of the rate limiter (a token bucket).  Returns 0, or the
+   time in seconds until a permit is available.  */
 static double
-take_turn (struct consul *self)
+acquire_permit (struct consul *self)
 {
   double now_s = monotonic_s ();
-  self->allowance += (now_s - self->refilled_s) * self->calls_per_s;
+  self->permits += (now_s - self->refilled_s) * self->calls_per_s;
   self->refilled_s = now_s;
-  if (self->allowance > (double)BURST_SECONDS * self->calls_per_s)
-    self->allowance = (double)BURST_SECONDS * self->calls_per_s;
-  if (self->allowance < 1)
-    return (1 - self->allowance) / self->calls_per_s;
-  self->allowance -= 1;
+  if (self->permits > (double)BURST_SECONDS * self->calls_per_s)
+    self->permits = (double)BURST_SECONDS * self->calls_per_s;
+  if (self->permits < 1)
+    return (1 - self->permits) / self->calls_per_s;
+  self->permits -= 1;
   return 0;
 }
 
 static void
-on_pump (evutil_socket_t fd, short events, void *arg)
+on_dispatch (evutil_socket_t fd, short events, void *arg)
 {
   (void)fd;
   (void)events;
@@ -327,15 +338,15 @@
       struct consul_conn *conn = idle_conn (self);
       if (conn == NULL)
         return;
-      double wait_s = take_turn (self);
+      double wait_s = acquire_permit (self);
       if (wait_s > 0)
         {
-          wake (self, wait_s);
+          schedule_dispatch (self, wait_s);
           return;
         }
       struct consul_call *call = self->queue_head;
-      unqueue (self, call);
-      start (call, conn);
+      dequeue (self, call);
+      send_call (call, conn);
     }
 }
 
@@ -367,7 +378,7 @@
   *self->queue_tail = queued;
   self->queue_tail = &queued->next;
   self->queue_length++;
-  wake (self, 0);
+  schedule_dispatch (self, 0);
   return queued->id;
 }
 
@@ -379,7 +390,7 @@
   HASH_FIND (hh, self->calls, &id, sizeof id, call);
   if (call == NULL)
     return;
-  abandon (call);
+  cancel_exchange (call);
   free_call (call);
 }
 
@@ -407,9 +418,9 @@
                                                    : CONSUL_MAX_CONNECTIONS;
   self->metrics = options->metrics;
   self->queue_tail = &self->queue_head;
-  self->pump = evtimer_new (base, on_pump, self);
+  self->dispatch = evtimer_new (base, on_dispatch, self);
   self->refilled_s = monotonic_s ();
-  self->allowance = (double)BURST_SECONDS * self->calls_per_s;
+  self->permits = (double)BURST_SECONDS * self->calls_per_s;
   return &self->base;
 }
 
@@ -428,7 +439,7 @@
   struct consul_call *call, *next;
   HASH_ITER (hh, self->calls, call, next)
   {
-    abandon (call);
+    cancel_exchange (call);
     free_call (call);
   }
   for (size_t i = 0; i < self->conn_count; i++)
@@ -437,7 +448,7 @@
       free (self->conns[i]);
     }
   free (self->conns);
-  event_free (self->pump);
+  event_free (self->dispatch);
   free (self->address);
   free (self->token);
   free (self->host_header);
--- a/src/port/consul_answer.c
+++ b/src/port/consul_answer.c
@@ -31,39 +31,39 @@
 }
 
 static bool
-parse_items (struct kv_answer *answer, json_t *array, const char *wrapper)
+parse_items (struct kv_answer *response, json_t *array, const char *wrapper)
 {
   size_t count = json_array_size (array);
-  answer->items = mem_zalloc ((count + 1) * sizeof *answer->items);
-  answer->reply.items = answer->items;
+  response->items = mem_zalloc ((count + 1) * sizeof *response->items);
+  response->reply.items = response->items;
   for (size_t i = 0; i < count; i++)
     {
       json_t *entry = json_array_get (array, i);
       if (wrapper != NULL)
         entry = json_object_get (entry, wrapper);
-      answer->reply.item_count = i + 1;
-      if (!parse_item (&answer->items[i], entry))
+      response->reply.item_count = i + 1;
+      if (!parse_item (&response->items[i], entry))
         return false;
     }
   return true;
 }
 
 static bool
-parse_written (struct kv_answer *answer, json_t *body)
+parse_written (struct kv_answer *response, json_t *body)
 {
   json_t *results = json_object_get (body, "Results");
   if (!json_is_array (results) && !json_is_null (results))
     return false;
-  if (!parse_items (answer, results, "KV"))
+  if (!parse_items (response, results, "KV"))
     return false;
-  for (size_t i = 0; i < answer->reply.item_count; i++)
-    if (answer->items[i].index > answer->reply.index)
-      answer->reply.index = answer->items[i].index;
+  for (size_t i = 0; i < response->reply.item_count; i++)
+    if (response->items[i].index > response->reply.index)
+      response->reply.index = response->items[i].index;
   return true;
 }
 
-/* Hosts whose registration names no incarnation are told apart by when they
-   were registered.  */
+/* A registration without an incarnation uses its creation index instead, which
+   tells it apart from an earlier registration of the same host.  */
 static bool
 parse_host (struct platform_host *host, json_t *entry)
 {
@@ -89,51 +89,51 @@
          && text_copy (host->domain, sizeof host->domain, domain);
 }
 
-/* One faulty registration must not hide the other hosts, so it is left
-   out.  */
+/* Skips invalid registrations, so that one of them does not hide the other
+   hosts.  */
 static bool
-parse_hosts (struct kv_answer *answer, json_t *array)
+parse_hosts (struct kv_answer *response, json_t *array)
 {
   size_t count = json_array_size (array);
   size_t used = 0;
-  answer->hosts = mem_zalloc ((count + 1) * sizeof *answer->hosts);
+  response->hosts = mem_zalloc ((count + 1) * sizeof *response->hosts);
   for (size_t i = 0; i < count; i++)
-    if (parse_host (&answer->hosts[used], json_array_get (array, i)))
+    if (parse_host (&response->hosts[used], json_array_get (array, i)))
       used++;
     else
-      answer->hosts[used] = (struct platform_host){ 0 };
-  answer->reply.hosts = answer->hosts;
-  answer->reply.host_count = used;
+      response->hosts[used] = (struct platform_host){ 0 };
+  response->reply.hosts = response->hosts;
+  response->reply.host_count = used;
   return true;
 }
 
 static bool
-parse_lease (struct kv_answer *answer, json_t *body)
+parse_lease (struct kv_answer *response, json_t *body)
 {
   const char *id = json_string_value (json_object_get (body, "ID"));
   if (id == NULL || id[0] == '\0')
     return false;
-  answer->lease = mem_strdup (id);
-  answer->reply.lease = answer->lease;
+  response->lease = mem_strdup (id);
+  response->reply.lease = response->lease;
   return true;
 }
 
 static bool
-parse_body (struct kv_answer *answer, enum platform_call_kind kind,
+parse_body (struct kv_answer *response, enum platform_call_kind kind,
             json_t *body)
 {
   switch (kind)
     {
     case PLATFORM_GET:
-      return json_array_size (body) == 1 && parse_items (answer, body, NULL);
+      return json_array_size (body) == 1 && parse_items (response, body, NULL);
     case PLATFORM_LIST:
-      return json_is_array (body) && parse_items (answer, body, NULL);
+      return json_is_array (body) && parse_items (response, body, NULL);
     case PLATFORM_HOSTS:
-      return json_is_array (body) && parse_hosts (answer, body);
+      return json_is_array (body) && parse_hosts (response, body);
     case PLATFORM_WRITE:
-      return parse_written (answer, body);
+      return parse_written (response, body);
     case PLATFORM_LEASE:
-      return parse_lease (answer, body);
+      return parse_lease (response, body);
     default:
       return true;
     }
@@ -157,25 +157,25 @@
 }
 
 void
-consul_answer_parse (struct kv_answer *answer, enum platform_call_kind kind,
+consul_answer_parse (struct kv_answer *response, enum platform_call_kind kind,
                      int code, const char *index, const char *body,
                      size_t length)
 {
-  *answer = (struct kv_answer){ 0 };
+  *response = (struct kv_answer){ 0 };
   if (index != NULL)
-    answer->reply.index = strtoull (index, NULL, 10);
+    response->reply.index = strtoull (index, NULL, 10);
   if (code != HTTP_OK_CODE)
     {
-      answer->reply.status = status_of_error (kind, code);
+      response->reply.status = status_of_error (kind, code);
       return;
     }
   if (kind == PLATFORM_RENEW || kind == PLATFORM_RELEASE)
     return;
   json_t *json = body ? json_loadb (body, length, 0, NULL) : NULL;
-  bool understood = json != NULL && parse_body (answer, kind, json);
+  bool valid = json != NULL && parse_body (response, kind, json);
   json_decref (json);
-  if (understood)
+  if (valid)
     return;
-  kv_answer_clear (answer);
-  answer->reply.status = kv_lost_status (kind);
+  kv_answer_clear (response);
+  response->reply.status = kv_lost_status (kind);
 }
--- a/src/port/consul_codec.h
+++ b/src/port/consul_codec.h
@@ -1,5 +1,5 @@
-/* consul_codec - platform calls and replies as Consul's HTTP messages.
-   Private to consul*.c.  */
+/* consul_codec - translates platform calls and replies to and from Consul's
+   HTTP messages.  Private to consul*.c; see kv_codec.h for the functions.  */
 
 #ifndef SAVORYWAY_PORT_CONSUL_CODEC_H
 #define SAVORYWAY_PORT_CONSUL_CODEC_H
@@ -8,7 +8,7 @@
 
 bool consul_request_build (struct kv_request *request,
                            const struct platform_call *call);
-void consul_answer_parse (struct kv_answer *answer,
+void consul_answer_parse (struct kv_answer *response,
                           enum platform_call_kind kind, int code,
                           const char *index, const char *body, size_t length);
 
--- a/src/port/consul_request.c
+++ b/src/port/consul_request.c
@@ -7,10 +7,12 @@
 
 #include "kernel/mem.h"
 
+/* Consul's limit on the length of a key.  */
 #define KEY_LIMIT_BYTES 512
 
-/* A read that resolves a lost answer must see all earlier writes, so reads
-   that don't wait ask for consistency.  */
+/* A read that determines the outcome of an unanswered write must see all
+   earlier writes.  Reads that don't block therefore use Consul's consistent
+   mode.  */
 static char *
 read_uri (const char *path, const struct platform_call *call,
           const char *recurse)
--- a/src/port/instance_port.h
+++ b/src/port/instance_port.h
@@ -1,8 +1,9 @@
-/* instance_port - connections to instances that speak statements.
+/* instance_port - interface for connections to instances that accept
+   statements.
 
-   Statements may be sent while earlier ones are unanswered; answers come in
-   the order of sending.  The port never calls an event from within one of
-   its own operations.  */
+   Statements are pipelined: they may be sent while earlier ones are
+   unanswered, and answers arrive in the order of sending.  The port never
+   invokes an event callback from within one of its own operations.  */
 
 #ifndef SAVORYWAY_PORT_INSTANCE_PORT_H
 #define SAVORYWAY_PORT_INSTANCE_PORT_H
@@ -11,20 +12,20 @@
 
 struct instance_target
 {
-  const char *address; /* an IP number */
+  const char *address; /* an IP address */
   uint16_t port;
-  const char *group; /* checked by the instance */
-  const char *id;    /* likewise */
+  const char *group; /* the instance verifies its group */
+  const char *id;    /* and its id */
 };
 
 struct instance_link;
 
-/* After closed the link no longer exists.  */
+/* Event callbacks of one link.  The link no longer exists after closed.  */
 struct instance_events
 {
   void (*opened) (void *arg, const struct answer *hello);
   void (*answer) (void *arg, const struct answer *answer);
-  /* CODE is what the instance gave as reason, or CODE_LOST.  */
+  /* CODE is the reason given by the instance, or CODE_LOST.  */
   void (*closed) (void *arg, enum code code);
 };
 
@@ -36,11 +37,12 @@
                                  const struct instance_target *target,
                                  const struct instance_events *events,
                                  void *arg);
-  /* AFTER, if not NULL, is the position that the log must hold.  */
+  /* AFTER, if not NULL, is a position that the instance's log must contain
+     for STATEMENT to run.  */
   void (*send) (struct instance_port *port, struct instance_link *link,
                 const struct statement *statement,
                 const struct position *after);
-  /* Closes at once; no event follows.  */
+  /* Closes LINK at once, without further events.  */
   void (*close) (struct instance_port *port, struct instance_link *link);
 };
 
--- a/src/port/kv_codec.c
+++ b/src/port/kv_codec.c
@@ -32,12 +32,12 @@
 char *
 kv_encode (const char *text)
 {
-  static const char plain[] = "abcdefghijklmnopqrstuvwxyz"
-                              "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./~";
+  static const char unreserved[] = "abcdefghijklmnopqrstuvwxyz"
+                                   "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./~";
   char *out = mem_zalloc (3 * strlen (text) + 1);
   char *end = out;
   for (; *text != '\0'; text++)
-    if (strchr (plain, *text) != NULL)
+    if (strchr (unreserved, *text) != NULL)
       *end++ = *text;
     else
       end += sprintf (end, "%%%02X", (unsigned char)*text);
@@ -78,16 +78,16 @@
 }
 
 void
-kv_answer_clear (struct kv_answer *answer)
+kv_answer_clear (struct kv_answer *response)
 {
-  for (size_t i = 0; answer->items != NULL && i < answer->reply.item_count;
+  for (size_t i = 0; response->items != NULL && i < response->reply.item_count;
        i++)
     {
-      free (answer->items[i].key);
-      free (answer->items[i].value);
+      free (response->items[i].key);
+      free (response->items[i].value);
     }
-  free (answer->items);
-  free (answer->hosts);
-  free (answer->lease);
-  *answer = (struct kv_answer){ 0 };
+  free (response->items);
+  free (response->hosts);
+  free (response->lease);
+  *response = (struct kv_answer){ 0 };
 }
--- a/src/port/kv_codec.h
+++ b/src/port/kv_codec.h
@@ -1,4 +1,8 @@
-/* kv_codec - calls and replies of a key-value service as HTTP messages.  */
+/* kv_codec - translation of platform calls and replies to and from the HTTP
+   messages of a key-value service.
+
+   A codec builds the request of a call and parses the response to it.  The
+   HTTP client (consul.h) works with any codec.  */
 
 #ifndef SAVORYWAY_PORT_KV_CODEC_H
 #define SAVORYWAY_PORT_KV_CODEC_H
@@ -13,6 +17,7 @@
   KV_DELETE
 };
 
+/* Owns its strings.  */
 struct kv_request
 {
   enum kv_verb verb;
@@ -22,7 +27,7 @@
 
 void kv_request_clear (struct kv_request *request);
 
-/* A reply that owns what it points to.  */
+/* A reply and the memory that it points to.  */
 struct kv_answer
 {
   struct platform_reply reply;
@@ -31,31 +36,36 @@
   char *lease;
 };
 
-void kv_answer_clear (struct kv_answer *answer);
+void kv_answer_clear (struct kv_answer *response);
 
-/* Whether a call of KIND changes something.  */
+/* Returns whether calls of KIND change stored data or leases.  */
 bool kv_call_writes (enum platform_call_kind kind);
 
-/* What a call of KIND gets when no answer came after it was sent.  */
+/* Returns the status of a call of KIND that was sent but got no response:
+   PLATFORM_LOST for a write, which may have taken effect, else
+   PLATFORM_UNAVAILABLE.  */
 enum platform_status kv_lost_status (enum platform_call_kind kind);
 
-/* Returns TEXT with all but the usual characters of keys percent-encoded;
-   the caller frees it.  */
+/* Returns TEXT with percent-encoding of all characters but letters, digits
+   and "-_./~"; the caller frees it.  */
 char *kv_encode (const char *text);
 
-/* Returns BYTES bytes of DATA as base64; the caller frees it.  */
+/* Returns BYTES bytes of DATA in base64; the caller frees it.  */
 char *kv_base64 (const char *data, size_t bytes);
 
-/* Decodes base64 TEXT into the value of ITEM; false if it is malformed.  */
+/* Decodes base64 TEXT into the value of ITEM.  Returns false if TEXT is
+   malformed.  */
 bool kv_decode_value (struct platform_item *item, const char *text);
 
 struct kv_codec
 {
-  /* Returns false if CALL holds a value or lease that can't be sent.  */
+  /* Fills REQUEST from CALL.  Returns false if CALL is not valid for the
+     service, such as a key or value over its limit.  */
   bool (*build) (struct kv_request *request, const struct platform_call *call);
-  /* Fills ANSWER from an HTTP response to a call of KIND.  A body that can't
-     be understood counts as no answer.  */
-  void (*parse) (struct kv_answer *answer, enum platform_call_kind kind,
+  /* Fills RESPONSE from the HTTP response to a call of KIND: status CODE,
+     header X-Consul-Index (NULL if absent) and body.  A malformed body counts
+     as no response.  */
+  void (*parse) (struct kv_answer *response, enum platform_call_kind kind,
                  int code, const char *index, const char *body, size_t length);
 };
 
--- a/src/port/peer_port.h
+++ b/src/port/peer_port.h
@@ -1,9 +1,9 @@
-/* peer_port - calls between hosts, as the core sees them.
+/* peer_port - interface for calls between hosts.
 
-   A call is answered by one reply or by an error, never from within the
-   call.  A call to a host's own name is not allowed: the core short-cuts
-   those.  Messages are the types of peer.x; the receiver of a message does
-   not keep pointers into it past the callback.  */
+   Each call ends with exactly one reply or error, which is never reported
+   from within the call.  A host must not call itself; the core handles such
+   messages locally.  Messages have the types of peer.x; a received message is
+   valid only during the callback.  */
 
 #ifndef SAVORYWAY_PORT_PEER_PORT_H
 #define SAVORYWAY_PORT_PEER_PORT_H
@@ -15,9 +15,9 @@
 enum peer_status
 {
   PEER_OK,
-  PEER_UNREACHABLE, /* certainly not delivered */
-  PEER_LOST,        /* may have been delivered */
-  PEER_TIMEOUT      /* may have been delivered */
+  PEER_UNREACHABLE, /* not processed by the peer */
+  PEER_LOST,        /* connection failed; may have been processed */
+  PEER_TIMEOUT      /* no reply in time; may have been processed */
 };
 
 struct peer_address
@@ -28,11 +28,13 @@
   uint64_t incarnation;
 };
 
+/* Called with the outcome of a call; REPLY is NULL unless STATUS is
+   PEER_OK.  */
 typedef void (*peer_done) (void *arg, enum peer_status status,
                            const peer_message *reply);
 
-/* Called for a message from another host; CALL is answered with reply, once,
-   now or later.  */
+/* Called for a message from another host.  The handler must answer CALL
+   through reply exactly once, at once or later.  */
 typedef void (*peer_handler) (void *arg, uint64_t call,
                               const peer_message *message);
 
@@ -40,10 +42,11 @@
 
 struct peer_port_ops
 {
-  /* Sends MESSAGE (copied) to TO; returns an id for cancel.  */
+  /* Sends a copy of MESSAGE to TO.  Returns an id for cancel.  */
   uint64_t (*call) (struct peer_port *port, const struct peer_address *to,
                     const peer_message *message, clk_ms timeout_ms,
                     peer_done done, void *arg);
+  /* Drops a call without a callback; the peer may still process it.  */
   void (*cancel) (struct peer_port *port, uint64_t id);
   void (*reply) (struct peer_port *port, uint64_t call,
                  const peer_message *message);
