--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -102,7 +102,8 @@
       sim_instance_kill (control->instances[0]);
       break;
     case FAULT_ORDERED:
-      failover_order (control->failovers[2], "t/s/d", NULL, no_answer, NULL);
+      failover_switch_over (control->failovers[2], "t/s/d", NULL, no_answer,
+                            NULL);
       break;
     default:
       sim_instance_kill (control->instances[0]);
--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -17,7 +17,7 @@
 #include "core/sync.h"
 #include "core/sync_head.h"
 #include "core/terms.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 
 #define DOMAINS 6
@@ -428,7 +428,7 @@
   host->view = view_new ();
   host->terms = terms_new ();
   host->sync = sync_new (&host->platform, host->view, 0, NULL);
-  kernel_register (host->kernel, viewmod_new (host->view));
+  kernel_register (host->kernel, view_module_new (host->view));
   kernel_register (host->kernel, members_module (members_new (&self)));
   kernel_register (host->kernel, peers_module (peers_new (&host->peer)));
   kernel_register (host->kernel, terms_module (host->terms));
--- a/bench/bench_scale.c
+++ b/bench/bench_scale.c
@@ -137,7 +137,7 @@
     {
       struct platform_host changed = make_host (i % size->hosts, 2 + i);
       sync_hosts_change (&rig.state.hosts, 1 + i, &changed, false);
-      sync_hosts_end (&rig.state.hosts, 1 + i);
+      sync_hosts_commit (&rig.state.hosts, 1 + i);
     }
   double changed = cpu_us ();
   for (size_t i = 0; i < size->databases; i++)
@@ -211,7 +211,7 @@
       terms_set (rig.terms, name, i + 1, &record);
     }
   double set = cpu_us ();
-  sync_state_terms_at (&rig.state, size->databases, 1000);
+  sync_state_set_terms_index (&rig.state, size->databases, 1000);
   double full_us, delta_us;
   peer_pull pull = { 0 };
   size_t full = update_bytes (&rig, &pull, &full_us);
--- a/bench/bench_view.c
+++ b/bench/bench_view.c
@@ -118,11 +118,11 @@
              rest < DATABASES_PER_TEAM ? rest : DATABASES_PER_TEAM);
     }
   double load_ms = now_ms () - start_ms;
-  view_databases (view);
+  view_first_database (view);
   size_t bytes = mallinfo2 ().uordblks - before;
   start_ms = now_ms ();
   apply (view, 0, count < DATABASES_PER_TEAM ? count : DATABASES_PER_TEAM);
-  view_databases (view);
+  view_first_database (view);
   double change_ms = now_ms () - start_ms;
   printf ("bench=view databases=%zu bytes=%zu bytes_per_database=%zu"
           " load_ms=%.1f change_ms=%.2f lookup_ns=%.0f\n",
--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -374,7 +374,7 @@
   if (text != NULL)
     {
       const char *team = input->count > 1 ? input->arguments[1] : "team";
-      if (view_check (view, team, text, length, &findings))
+      if (view_validate (view, team, text, length, &findings))
         status = EXIT_OK;
       config_print_findings (&findings, input->json);
     }
--- a/src/cli/http_caller.c
+++ b/src/cli/http_caller.c
@@ -37,7 +37,7 @@
   if (caller->options.metrics == NULL)
     return;
   snprintf (name, sizeof name, "caller_answers_total{status=\"%d\"}", status);
-  metrics_count (caller->options.metrics, name);
+  metrics_increment (caller->options.metrics, name);
 }
 
 static void
--- a/src/cli/http_failover.c
+++ b/src/cli/http_failover.c
@@ -103,8 +103,8 @@
   if (target != NULL && !json_is_string (target))
     reply_error (http, request, 400, "target must be a string");
   else
-    failover_order (http->failover, database, json_string_value (target),
-                    order_done, order_new (http, request));
+    failover_switch_over (http->failover, database, json_string_value (target),
+                          order_done, order_new (http, request));
   json_decref (body);
 }
 
@@ -120,8 +120,8 @@
   if (!json_is_boolean (hold))
     reply_error (http, request, 400, "hold must be true or false");
   else
-    failover_hold (http->failover, database, json_is_true (hold), order_done,
-                   order_new (http, request));
+    failover_set_hold (http->failover, database, json_is_true (hold),
+                       order_done, order_new (http, request));
   json_decref (body);
 }
 
--- a/src/cli/http_ops.c
+++ b/src/cli/http_ops.c
@@ -83,7 +83,7 @@
 };
 
 static void
-census_done (void *arg, const struct sync_share *shares, size_t count)
+census_done (void *arg, const struct sync_revision_hosts *shares, size_t count)
 {
   struct census *census = arg;
   struct http_ops *ops = census->ops;
@@ -100,7 +100,7 @@
   census->ops = ops;
   census->request = request;
   DL_APPEND (ops->censuses, census);
-  sync_status (node_sync (ops->options.node), census_done, census);
+  sync_count_revisions (node_sync (ops->options.node), census_done, census);
 }
 
 static void
--- a/src/cli/ops_report.c
+++ b/src/cli/ops_report.c
@@ -79,7 +79,7 @@
   json_t *hosts = json_array ();
   json_t *databases = json_array ();
   members_each (node_members (node), add_member, hosts);
-  for (struct view_database *database = view_databases (node_view (node));
+  for (struct view_database *database = view_first_database (node_view (node));
        database != NULL; database = database->hh.next)
     json_array_append_new (databases, report_database (node, database));
   return json_pack ("{s:o, s:o}", "hosts", hosts, "databases", databases);
@@ -104,9 +104,9 @@
   struct view *view = node_view (node);
   json_int_t databases = 0;
   json_int_t services = 0;
-  for (struct view_database *d = view_databases (view); d; d = d->hh.next)
+  for (struct view_database *d = view_first_database (view); d; d = d->hh.next)
     databases++;
-  for (struct view_service *s = view_services (view); s; s = s->hh.next)
+  for (struct view_service *s = view_first_service (view); s; s = s->hh.next)
     services++;
   json_object_set_new (status, "services", json_integer (services));
   json_object_set_new (status, "databases", json_integer (databases));
@@ -120,7 +120,7 @@
 }
 
 json_t *
-ops_report_shares (const struct sync_share *shares, size_t count)
+ops_report_shares (const struct sync_revision_hosts *shares, size_t count)
 {
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
--- a/src/cli/ops_report.h
+++ b/src/cli/ops_report.h
@@ -16,7 +16,8 @@
 void ops_report_counts (struct node *node, json_t *status);
 
 /* Returns how many hosts have which revision of the configuration.  */
-json_t *ops_report_shares (const struct sync_share *shares, size_t count);
+json_t *ops_report_shares (const struct sync_revision_hosts *shares,
+                           size_t count);
 
 /* Resident memory of the process in bytes; 0 if not known.  */
 int64_t ops_report_resident_bytes (void);
--- a/src/core/acks.c
+++ b/src/core/acks.c
@@ -78,7 +78,7 @@
     if (acks_reached (wait, report))
       end (acks, wait, ACK_REACHED);
     else if (has_moved (wait, report))
-      end (acks, wait, ACK_TERM_MOVED);
+      end (acks, wait, ACK_TERM_CHANGED);
   }
 }
 
--- a/src/core/acks.h
+++ b/src/core/acks.h
@@ -22,7 +22,7 @@
 enum ack_result
 {
   ACK_REACHED,
-  ACK_TERM_MOVED, /* the instance is no longer primary of that term */
+  ACK_TERM_CHANGED, /* the instance is no longer primary of that term */
   ACK_TIMEOUT
 };
 
--- a/src/core/confedit_change.c
+++ b/src/core/confedit_change.c
@@ -55,7 +55,8 @@
                     proposed->bytes, (size_t)(PLATFORM_VALUE_LIMIT_BYTES));
       return false;
     }
-  return view_check (view, team, proposed->value, proposed->bytes, findings);
+  return view_validate (view, team, proposed->value, proposed->bytes,
+                        findings);
 }
 
 static json_t *
--- a/src/core/confedit_job.c
+++ b/src/core/confedit_job.c
@@ -46,7 +46,7 @@
   struct kernel *kernel = job->confedit->base.kernel;
   char *name = mem_printf ("config_changes_total{status=\"%s\"}",
                            confedit_status_name (result->status));
-  metrics_count (kernel_metrics (kernel), name);
+  metrics_increment (kernel_metrics (kernel), name);
   free (name);
   log_event (
       kernel_log (kernel), LOG_INFO, "config_change",
@@ -98,7 +98,7 @@
       return;
     }
   char *name = mem_printf ("config_retries_total{why=\"%s\"}", why);
-  metrics_count (kernel_metrics (kernel), name);
+  metrics_increment (kernel_metrics (kernel), name);
   free (name);
   uint64_t limit_ms = (uint64_t)RETRY_FIRST_MS << job->rounds;
   if (limit_ms > RETRY_MAX_MS)
--- a/src/core/coordinators.c
+++ b/src/core/coordinators.c
@@ -112,7 +112,8 @@
   struct placement *placement, *next;
   for (placement = c->placements; placement; placement = placement->hh.next)
     placement->seen = false;
-  for (struct view_database *d = view_databases (c->view); d; d = d->hh.next)
+  for (struct view_database *d = view_first_database (c->view); d;
+       d = d->hh.next)
     {
       placement = get (c, d->name);
       placement->seen = true;
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -5,7 +5,7 @@
 #include <utlist.h>
 
 #include "core/entry_call.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
@@ -32,11 +32,11 @@
 {
   struct metrics *metrics = kernel_metrics (entry->base.kernel);
   if (answer->outcome == OUTCOME_DONE)
-    metrics_count (metrics, "requests_total{outcome=\"done\"}");
+    metrics_increment (metrics, "requests_total{outcome=\"done\"}");
   else if (answer->outcome == OUTCOME_NOT_RUN)
-    metrics_count (metrics, "requests_total{outcome=\"not_run\"}");
+    metrics_increment (metrics, "requests_total{outcome=\"not_run\"}");
   else
-    metrics_count (metrics, "requests_total{outcome=\"unknown\"}");
+    metrics_increment (metrics, "requests_total{outcome=\"unknown\"}");
 }
 
 void
@@ -179,8 +179,8 @@
   entry->terms = (struct terms *)kernel_find (kernel, "terms");
   entry->router = (struct router *)kernel_find (kernel, "router");
   entry->gateway = (struct gateway *)kernel_find (kernel, "gateway");
-  entry->view = viewmod_get (kernel);
-  terms_watch (entry->terms, on_term, entry);
+  entry->view = view_module_get (kernel);
+  terms_subscribe (entry->terms, on_term, entry);
   entry_tx_start (entry);
 }
 
--- a/src/core/entry_resolve.c
+++ b/src/core/entry_resolve.c
@@ -139,8 +139,8 @@
     }
   bool later = record->term > call->uncertain_term;
   call->host_index = 0;
-  metrics_count (kernel_metrics (entry->base.kernel),
-                 later ? "entry_lookups_total" : "entry_tombstones_total");
+  metrics_increment (kernel_metrics (entry->base.kernel),
+                     later ? "entry_lookups_total" : "entry_tombstones_total");
   log_event (
       kernel_log (entry->base.kernel), LOG_NOTICE, "resolve",
       LOG_S ("request", call->request_id), LOG_S ("database", call->database),
--- a/src/core/entry_route.c
+++ b/src/core/entry_route.c
@@ -16,8 +16,8 @@
   call->reason = reason;
   if (entry->held_count >= ENTRY_HELD_LIMIT)
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_held_limit_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_held_limit_total");
       call_fail (call,
                  call->uncertain_term != 0 ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN,
                  REASON_OVERLOAD);
@@ -44,11 +44,11 @@
                        : retry_budget_withdraw (&call->load->budget);
   if (!allowed)
     {
-      metrics_count (metrics, "entry_retry_limit_total");
+      metrics_increment (metrics, "entry_retry_limit_total");
       call_fail (call, OUTCOME_NOT_RUN, reason);
       return;
     }
-  metrics_count (metrics, "entry_retries_total");
+  metrics_increment (metrics, "entry_retries_total");
   clk_ms delay_ms = 0;
   if (!plain)
     delay_ms = retry_delay (kernel_rng (entry->base.kernel), call->retries);
@@ -77,7 +77,7 @@
       call_hold (call, REASON_STALE_TERM);
       return false;
     }
-  if (term_record_holds (record, position))
+  if (term_record_contains (record, position))
     return true;
   log_event (kernel_log (call->entry->base.kernel), LOG_WARNING, "token_ahead",
              LOG_S ("database", call->database),
--- a/src/core/entry_send.c
+++ b/src/core/entry_send.c
@@ -134,10 +134,10 @@
     return;
   if (!retry_budget_withdraw (&call->load->budget))
     {
-      metrics_count (metrics, "entry_hedge_limit_total");
+      metrics_increment (metrics, "entry_hedge_limit_total");
       return;
     }
-  metrics_count (metrics, "entry_hedges_total");
+  metrics_increment (metrics, "entry_hedges_total");
   memcpy (call->hedge.instance, choice.instance->name,
           sizeof call->hedge.instance);
   transmit (&call->hedge, &hosts[0]->address);
@@ -222,8 +222,8 @@
   if (gateway_hosts (entry->members, instance, hosts) < 2)
     return false;
   call->host_index = 1;
-  metrics_count (kernel_metrics (entry->base.kernel),
-                 "entry_second_host_total");
+  metrics_increment (kernel_metrics (entry->base.kernel),
+                     "entry_second_host_total");
   call_send (call, instance, call->sent_term, call->purpose);
   return true;
 }
--- a/src/core/entry_submit.c
+++ b/src/core/entry_submit.c
@@ -89,8 +89,8 @@
   struct entry_load *load = take_load (entry, service);
   if (load == NULL || !has_room (entry, load))
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_requests_limit_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_requests_limit_total");
       call->retry_after_ms = ENTRY_HOLD_RETRY_MS;
       return REASON_OVERLOAD;
     }
@@ -107,14 +107,14 @@
   if (!session_decode (&call->session, entry->token_key, call->service,
                        call->caller, request->token))
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_bad_tokens_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_bad_tokens_total");
       return REASON_BAD_TOKEN;
     }
   if (!session_has_room (&call->session, call->database))
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_sessions_limit_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_sessions_limit_total");
       return REASON_OVERLOAD;
     }
   call->session_known = true;
--- a/src/core/entry_tx.c
+++ b/src/core/entry_tx.c
@@ -10,34 +10,34 @@
 #define HANDLE_BYTES (NAME_BYTES + PATH_BYTES + 64)
 #define HANDLE_TEXT_BYTES 1024
 
-static struct seal_context
+static struct signed_token_context
 handle_context (const struct entry_call *call)
 {
-  return (struct seal_context){ .key = call->entry->token_key,
-                                .purpose = "transaction",
-                                .service = call->service,
-                                .caller = call->caller };
+  return (struct signed_token_context){ .key = call->entry->token_key,
+                                        .purpose = "transaction",
+                                        .service = call->service,
+                                        .caller = call->caller };
 }
 
 static bool
 print_handle (const struct entry_call *call, uint64_t id, char *out,
               size_t out_bytes)
 {
-  const struct seal_context context = handle_context (call);
+  const struct signed_token_context context = handle_context (call);
   char text[HANDLE_BYTES];
   snprintf (text, sizeof text, "%s %s %" PRIu64 " %" PRIu64, call->host,
             call->instance, id, call->sent_term);
-  return seal_write (&context, (const uint8_t *)text, strlen (text), out,
-                     out_bytes);
+  return signed_token_encode (&context, (const uint8_t *)text, strlen (text),
+                              out, out_bytes);
 }
 
 bool
 call_open_handle (struct entry_call *call, const char *handle)
 {
-  const struct seal_context context = handle_context (call);
-  uint8_t text[SEAL_DATA_BYTES + 1];
+  const struct signed_token_context context = handle_context (call);
+  uint8_t text[SIGNED_TOKEN_DATA_BYTES + 1];
   size_t bytes = 0;
-  if (handle == NULL || !seal_read (&context, handle, text, &bytes))
+  if (handle == NULL || !signed_token_decode (&context, handle, text, &bytes))
     return false;
   text[bytes] = '\0';
   if (sscanf ((const char *)text, "%63s %255s %" SCNu64 " %" SCNu64,
@@ -82,8 +82,8 @@
     return;
   if (entry->tx_count >= ENTRY_TX_LIMIT)
     {
-      metrics_count (kernel_metrics (entry->base.kernel),
-                     "entry_transactions_limit_total");
+      metrics_increment (kernel_metrics (entry->base.kernel),
+                         "entry_transactions_limit_total");
       return;
     }
   struct entry_tx *tx = mem_zalloc (sizeof *tx);
--- a/src/core/failover.c
+++ b/src/core/failover.c
@@ -6,7 +6,7 @@
 
 #include "core/coordinators.h"
 #include "core/guard.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 
 #define TICK_MS 100
@@ -171,15 +171,16 @@
   struct kernel *kernel = module->kernel;
   struct guard_env *env = &failover->env;
   env->kernel = kernel;
-  env->view = viewmod_get (kernel);
+  env->view = view_module_get (kernel);
   env->members = (struct members *)kernel_find (kernel, "members");
   env->peers = (struct peers *)kernel_find (kernel, "peers");
   env->terms = (struct terms *)kernel_find (kernel, "terms");
   env->sync = (struct sync *)kernel_find (kernel, "sync");
   env->probe_ms = PROBE_MIN_MS;
   failover->coordinators = coordinators_new (env->members, env->view);
-  peers_handle (env->peers, PEER_KIND_SUSPICION, handle_suspicion, failover);
-  terms_watch (env->terms, term_changed, failover);
+  peers_register_handler (env->peers, PEER_KIND_SUSPICION, handle_suspicion,
+                          failover);
+  terms_subscribe (env->terms, term_changed, failover);
   failover->tick.fire = tick;
   failover->tick.arg = failover;
   kernel_timer_set (kernel, &failover->tick, kernel_now (kernel));
@@ -250,8 +251,8 @@
 }
 
 void
-failover_order (struct failover *failover, const char *database,
-                const char *target, failover_done done, void *arg)
+failover_switch_over (struct failover *failover, const char *database,
+                      const char *target, failover_done done, void *arg)
 {
   struct guard *guard = guest_guard (failover, database);
   const char *error = guard == NULL
@@ -262,8 +263,8 @@
 }
 
 void
-failover_hold (struct failover *failover, const char *database, bool hold,
-               failover_done done, void *arg)
+failover_set_hold (struct failover *failover, const char *database, bool hold,
+                   failover_done done, void *arg)
 {
   struct guard *guard = guest_guard (failover, database);
   const char *error = guard == NULL
--- a/src/core/failover.h
+++ b/src/core/failover.h
@@ -28,13 +28,13 @@
    or to any other instance that has all writes if TARGET is NULL.  Any host
    may be asked.  Running writes finish first; DONE is called once, never
    from within this call.  */
-void failover_order (struct failover *failover, const char *database,
-                     const char *target, failover_done done, void *arg);
+void failover_switch_over (struct failover *failover, const char *database,
+                           const char *target, failover_done done, void *arg);
 
 /* Forbids (HOLD) or allows promotions of DATABASE that nobody ordered.  The
    ban is part of the term record, so that it holds for all hosts.  */
-void failover_hold (struct failover *failover, const char *database, bool hold,
-                    failover_done done, void *arg);
+void failover_set_hold (struct failover *failover, const char *database,
+                        bool hold, failover_done done, void *arg);
 
 /* Returns what this host coordinates, as a JSON array; the caller frees
    it.  */
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "core/gateway_impl.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
@@ -189,7 +189,7 @@
 {
   const char *domain = members_self (gateway->members)->domain;
   struct view_database *database;
-  for (database = view_databases (gateway->view); database != NULL;
+  for (database = view_first_database (gateway->view); database != NULL;
        database = database->hh.next)
     for (size_t i = 0; i < database->instance_count; i++)
       if (strcmp (database->instances[i].domain, domain) == 0)
@@ -286,10 +286,12 @@
   gateway->peers = (struct peers *)kernel_find (kernel, "peers");
   gateway->members = (struct members *)kernel_find (kernel, "members");
   gateway->terms = (struct terms *)kernel_find (kernel, "terms");
-  gateway->view = viewmod_get (kernel);
-  peers_handle (gateway->peers, PEER_KIND_EXECUTE, gw_on_execute, gateway);
-  peers_handle (gateway->peers, PEER_KIND_HEARTBEAT, gw_on_heartbeat, gateway);
-  terms_watch (gateway->terms, on_term, gateway);
+  gateway->view = view_module_get (kernel);
+  peers_register_handler (gateway->peers, PEER_KIND_EXECUTE, gw_on_execute,
+                          gateway);
+  peers_register_handler (gateway->peers, PEER_KIND_HEARTBEAT, gw_on_heartbeat,
+                          gateway);
+  terms_subscribe (gateway->terms, on_term, gateway);
   gateway->tick.fire = on_tick;
   gateway->tick.arg = gateway;
   kernel_timer_set (kernel, &gateway->tick, kernel_now (kernel));
--- a/src/core/gateway_answer.c
+++ b/src/core/gateway_answer.c
@@ -126,11 +126,11 @@
   peer_executed executed = { .outcome = OUTCOME_NOT_RUN,
                              .reason = reason,
                              .retry_after_ms = retry_after_ms };
-  metrics_count (metrics, "gateway_refused_total");
+  metrics_increment (metrics, "gateway_refused_total");
   if (reason == REASON_OVERLOAD)
-    metrics_count (metrics, "gateway_overload_total");
+    metrics_increment (metrics, "gateway_overload_total");
   if (reason == REASON_DEADLINE)
-    metrics_count (metrics, "gateway_deadline_total");
+    metrics_increment (metrics, "gateway_deadline_total");
   send_answer (job, &executed);
 }
 
--- a/src/core/gateway_execute.c
+++ b/src/core/gateway_execute.c
@@ -13,8 +13,8 @@
   peer_body body = { .kind = PEER_KIND_EXECUTED };
   body.peer_body_u.executed.outcome = OUTCOME_NOT_RUN;
   body.peer_body_u.executed.reason = reason;
-  metrics_count (kernel_metrics (gateway->base.kernel),
-                 "gateway_refused_total");
+  metrics_increment (kernel_metrics (gateway->base.kernel),
+                     "gateway_refused_total");
   peers_reply (gateway->peers, call, &body);
 }
 
@@ -77,7 +77,7 @@
     return record->term > job->min.term ? REASON_STALE_TERM : REASON_NONE;
   if (job->min.term > record->term)
     return REASON_STALE_TERM;
-  if (job->min.term != 0 && !term_record_holds (record, job->min))
+  if (job->min.term != 0 && !term_record_contains (record, job->min))
     return REASON_TOKEN_AHEAD;
   return REASON_NONE;
 }
--- a/src/core/gateway_result.c
+++ b/src/core/gateway_result.c
@@ -21,7 +21,7 @@
   struct gw_job *job = gw_container (wait, struct gw_job, wait);
   if (result == ACK_REACHED)
     gw_answer_held (job);
-  else if (result == ACK_TERM_MOVED)
+  else if (result == ACK_TERM_CHANGED)
     gw_answer (job, OUTCOME_UNKNOWN, REASON_STALE_TERM);
   else
     gw_answer (job, OUTCOME_UNKNOWN, REASON_DEADLINE);
@@ -80,8 +80,8 @@
     }
   if (!acks_add (&instance->acks, &job->wait))
     {
-      metrics_count (kernel_metrics (instance->gateway->base.kernel),
-                     "gateway_acks_limit_total");
+      metrics_increment (kernel_metrics (instance->gateway->base.kernel),
+                         "gateway_acks_limit_total");
       gw_answer (job, OUTCOME_UNKNOWN, REASON_OVERLOAD);
       return;
     }
@@ -150,11 +150,11 @@
       bool current = report->primary && report->term == job->min.term;
       return current ? REASON_NONE : REASON_STALE_TERM;
     }
-  if (record == NULL || !term_record_holds (record, seen))
+  if (record == NULL || !term_record_contains (record, seen))
     return REASON_STALE_TERM;
   if (job->max_age_ms > 0 && report->primary && report->term < record->term)
     return REASON_STALE_TERM;
-  if (job->min.term != 0 && !term_record_holds (record, job->min))
+  if (job->min.term != 0 && !term_record_contains (record, job->min))
     return REASON_TOKEN_AHEAD;
   bool behind
       = report->term < job->min.term || report->replayed_lsn < job->min.lsn;
--- a/src/core/gateway_run.c
+++ b/src/core/gateway_run.c
@@ -109,8 +109,8 @@
 {
   struct gw_instance *instance = job->instance;
   struct gw_tx *tx = job->tx;
-  metrics_count (kernel_metrics (instance->gateway->base.kernel),
-                 "gateway_cut_off_total");
+  metrics_increment (kernel_metrics (instance->gateway->base.kernel),
+                     "gateway_cut_off_total");
   instance->running--;
   instance->running_long -= job->item.is_long;
   conn_pool_discard (job->conn);
--- a/src/core/gateway_tx.c
+++ b/src/core/gateway_tx.c
@@ -62,8 +62,8 @@
       || instance->tx_count + instance->slots + 1
              >= conn_pool_limit (instance->pool))
     {
-      metrics_count (kernel_metrics (instance->gateway->base.kernel),
-                     "gateway_transactions_limit_total");
+      metrics_increment (kernel_metrics (instance->gateway->base.kernel),
+                         "gateway_transactions_limit_total");
       gw_refuse (job, REASON_OVERLOAD, GW_STATUS_MS);
       return;
     }
@@ -152,8 +152,8 @@
              "transaction_rolled_back", LOG_S ("instance", instance->name),
              LOG_U ("transaction", tx->id),
              LOG_S ("entry_host", tx->entry_host), LOG_S ("why", why));
-  metrics_count (kernel_metrics (instance->gateway->base.kernel),
-                 "gateway_transactions_orphaned_total");
+  metrics_increment (kernel_metrics (instance->gateway->base.kernel),
+                     "gateway_transactions_orphaned_total");
   gw_tx_ended (tx, false);
 }
 
@@ -214,7 +214,7 @@
         tx->heard_ms = now_ms;
     }
   if (heartbeat->leaving)
-    members_leaving (gateway->members, message->from.host,
-                     message->from.incarnation);
+    members_mark_leaving (gateway->members, message->from.host,
+                          message->from.incarnation);
   answer_heartbeat (gateway, call, heartbeat);
 }
--- a/src/core/guard.c
+++ b/src/core/guard.c
@@ -265,7 +265,7 @@
       || now (guard) < guard->changed_ms + flap_delay (guard)
       || !can_seal (guard))
     return;
-  metrics_count (kernel_metrics (guard->env->kernel), "failovers_total");
+  metrics_increment (kernel_metrics (guard->env->kernel), "failovers_total");
   promotion_start (guard, record->term + 1);
 }
 
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -409,8 +409,8 @@
 }
 
 void
-members_leaving (struct members *members, const char *name,
-                 uint64_t incarnation)
+members_mark_leaving (struct members *members, const char *name,
+                      uint64_t incarnation)
 {
   struct host_entry *entry = entry_find (members, name);
   if (entry == NULL || entry->member.address.incarnation != incarnation
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -74,8 +74,8 @@
 void members_failed (struct members *members, const char *name);
 
 /* Records that a host of this incarnation says it is leaving.  */
-void members_leaving (struct members *members, const char *name,
-                      uint64_t incarnation);
+void members_mark_leaving (struct members *members, const char *name,
+                           uint64_t incarnation);
 
 /* Writes to OUT up to COUNT usable members in rendezvous order of KEY: only
    those of DOMAIN, or of all if DOMAIN is NULL.  Suspected and leaving ones
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -8,7 +8,7 @@
 #include "core/peers.h"
 #include "core/router.h"
 #include "core/sync.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
@@ -58,7 +58,7 @@
   node->entry = entry_new (&entry_options);
   node->confedit = confedit_new (options->platform, node->view);
 
-  kernel_register (kernel, viewmod_new (node->view));
+  kernel_register (kernel, view_module_new (node->view));
   kernel_register (kernel, members_module (node->members));
   kernel_register (kernel, peers_module (peers_new (options->peer)));
   kernel_register (kernel, terms_module (node->terms));
@@ -152,8 +152,8 @@
   log_event (kernel_log (node->kernel), LOG_NOTICE, "drain_begin",
              LOG_U ("requests", entry_in_flight (node->entry)),
              LOG_U ("gateway_requests", gateway_in_flight (node->gateway)));
-  members_leaving (node->members, self->address.name,
-                   self->address.incarnation);
+  members_mark_leaving (node->members, self->address.name,
+                        self->address.incarnation);
   sync_publish_leaving (node->sync);
   entry_drain (node->entry);
 }
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -307,8 +307,8 @@
 }
 
 void
-peers_handle (struct peers *peers, peer_kind kind, peers_handler handler,
-              void *arg)
+peers_register_handler (struct peers *peers, peer_kind kind,
+                        peers_handler handler, void *arg)
 {
   peers->handlers[kind].fn = handler;
   peers->handlers[kind].arg = arg;
--- a/src/core/peers.h
+++ b/src/core/peers.h
@@ -24,8 +24,8 @@
 struct peers *peers_new (struct peer_port *port);
 struct module *peers_module (struct peers *peers);
 
-void peers_handle (struct peers *peers, peer_kind kind, peers_handler handler,
-                   void *arg);
+void peers_register_handler (struct peers *peers, peer_kind kind,
+                             peers_handler handler, void *arg);
 
 /* Sends BODY to the member TO; an incarnation of 0 takes any host at the
    address.  DONE is called once, never from within this call; a refusal gives
--- a/src/core/promotion.c
+++ b/src/core/promotion.c
@@ -124,9 +124,9 @@
   struct promotion *p = &guard->promotion;
   promotion_done done = p->done;
   void *arg = p->arg;
-  metrics_count (kernel_metrics (guard->env->kernel),
-                 ok ? "promotions_total{result=\"done\"}"
-                    : "promotions_total{result=\"stopped\"}");
+  metrics_increment (kernel_metrics (guard->env->kernel),
+                     ok ? "promotions_total{result=\"done\"}"
+                        : "promotions_total{result=\"stopped\"}");
   memset (p, 0, sizeof *p);
   if (done != NULL)
     done (arg, ok, message);
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "core/router_impl.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
@@ -259,8 +259,8 @@
     return;
   if (out + 1 > replicas / 2)
     {
-      metrics_count (kernel_metrics (router->base.kernel),
-                     "router_ejection_limit_total");
+      metrics_increment (kernel_metrics (router->base.kernel),
+                         "router_ejection_limit_total");
       return;
     }
   log_event (kernel_log (router->base.kernel), LOG_NOTICE, "eject",
@@ -268,8 +268,8 @@
              LOG_I ("best_ratio", best->ratio),
              LOG_I ("latency_us", state->latency_us),
              LOG_I ("best_latency_us", best->latency_us));
-  metrics_count (kernel_metrics (router->base.kernel),
-                 "router_ejections_total");
+  metrics_increment (kernel_metrics (router->base.kernel),
+                     "router_ejections_total");
   router_state_eject (state, now_ms);
 }
 
@@ -339,7 +339,7 @@
   router->members = (struct members *)kernel_find (kernel, "members");
   router->peers = (struct peers *)kernel_find (kernel, "peers");
   router->gateway = (struct gateway *)kernel_find (kernel, "gateway");
-  router->view = viewmod_get (kernel);
+  router->view = view_module_get (kernel);
   router_probe_start (router);
 }
 
--- a/src/core/session.c
+++ b/src/core/session.c
@@ -53,15 +53,15 @@
 session_decode (struct session *session, const uint8_t *key,
                 const char *service, const char *caller, const char *token)
 {
-  const struct seal_context context = {
+  const struct signed_token_context context = {
     .key = key, .purpose = purpose, .service = service, .caller = caller
   };
-  uint8_t data[SEAL_DATA_BYTES];
+  uint8_t data[SIGNED_TOKEN_DATA_BYTES];
   size_t data_bytes = 0;
   session->count = 0;
   if (token == NULL || *token == '\0')
     return true;
-  return seal_read (&context, token, data, &data_bytes)
+  return signed_token_decode (&context, token, data, &data_bytes)
          && decode (session, data, data_bytes);
 }
 
@@ -70,7 +70,7 @@
                 const char *service, const char *caller, char *out,
                 size_t out_bytes)
 {
-  const struct seal_context context = {
+  const struct signed_token_context context = {
     .key = key, .purpose = purpose, .service = service, .caller = caller
   };
   uint8_t data[1 + SESSION_DATABASES * ENTRY_BYTES];
@@ -82,8 +82,8 @@
       put_u64 (to + 8, session->entries[i].position.term);
       put_u64 (to + 16, session->entries[i].position.lsn);
     }
-  return seal_write (&context, data, 1 + session->count * ENTRY_BYTES, out,
-                     out_bytes);
+  return signed_token_encode (&context, data, 1 + session->count * ENTRY_BYTES,
+                              out, out_bytes);
 }
 
 static size_t
--- a/src/core/session.h
+++ b/src/core/session.h
@@ -11,10 +11,10 @@
 
 #include <stddef.h>
 
-#include "core/seal.h"
+#include "core/signed_token.h"
 #include "core/types.h"
 
-#define TOKEN_KEY_BYTES SEAL_KEY_BYTES
+#define TOKEN_KEY_BYTES SIGNED_TOKEN_KEY_BYTES
 #define SESSION_DATABASES 48
 
 struct session_entry
--- a/src/core/seal.c
+++ b/src/core/signed_token.c
@@ -1,10 +1,10 @@
-#include "core/seal.h"
+#include "core/signed_token.h"
 
 #include <string.h>
 
 #include <sodium.h>
 
-#define SEALED_BYTES (SEAL_DATA_BYTES + crypto_auth_BYTES)
+#define SEALED_BYTES (SIGNED_TOKEN_DATA_BYTES + crypto_auth_BYTES)
 #define TEXT_LIMIT_BYTES ((size_t)2 * SEALED_BYTES)
 #define VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
@@ -16,11 +16,12 @@
 }
 
 static void
-authenticate (const struct seal_context *context, const uint8_t *data,
+authenticate (const struct signed_token_context *context, const uint8_t *data,
               size_t data_bytes, uint8_t *mac)
 {
   crypto_auth_hmacsha512256_state state;
-  crypto_auth_hmacsha512256_init (&state, context->key, SEAL_KEY_BYTES);
+  crypto_auth_hmacsha512256_init (&state, context->key,
+                                  SIGNED_TOKEN_KEY_BYTES);
   feed_text (&state, context->purpose);
   feed_text (&state, context->service);
   feed_text (&state, context->caller);
@@ -29,12 +30,13 @@
 }
 
 bool
-seal_write (const struct seal_context *context, const uint8_t *data,
-            size_t data_bytes, char *out, size_t out_bytes)
+signed_token_encode (const struct signed_token_context *context,
+                     const uint8_t *data, size_t data_bytes, char *out,
+                     size_t out_bytes)
 {
   uint8_t sealed[SEALED_BYTES];
   size_t sealed_bytes = data_bytes + crypto_auth_BYTES;
-  if (data_bytes > SEAL_DATA_BYTES)
+  if (data_bytes > SIGNED_TOKEN_DATA_BYTES)
     return false;
   if (sodium_base64_encoded_len (sealed_bytes, VARIANT) > out_bytes)
     return false;
@@ -45,8 +47,8 @@
 }
 
 bool
-seal_read (const struct seal_context *context, const char *text, uint8_t *data,
-           size_t *data_bytes)
+signed_token_decode (const struct signed_token_context *context,
+                     const char *text, uint8_t *data, size_t *data_bytes)
 {
   uint8_t sealed[SEALED_BYTES];
   uint8_t mac[crypto_auth_BYTES];
--- a/src/core/sync.c
+++ b/src/core/sync.c
@@ -167,8 +167,8 @@
   sync->serve = sync_serve_new (&sync->state, sync->peers);
   sync->census
       = sync_census_new (&sync->state, &sync->tree, sync->serve, sync->peers);
-  peers_handle (sync->peers, PEER_KIND_UPDATE, handle_push, sync);
-  terms_watch (terms, term_changed, sync);
+  peers_register_handler (sync->peers, PEER_KIND_UPDATE, handle_push, sync);
+  terms_subscribe (terms, term_changed, sync);
   sync->started_ms = now_ms;
   sync->direct_after_ms
       = now_ms + (clk_ms)rng_below (kernel_rng (kernel), START_JITTER_MS);
@@ -248,7 +248,7 @@
 }
 
 void
-sync_status (struct sync *sync, sync_status_done done, void *arg)
+sync_count_revisions (struct sync *sync, sync_count_done done, void *arg)
 {
   sync_census_start (sync->census, done, arg);
 }
--- a/src/core/sync.h
+++ b/src/core/sync.h
@@ -38,7 +38,7 @@
 bool sync_is_relay (const struct sync *sync);
 
 /* How many hosts have a revision in force.  */
-struct sync_share
+struct sync_revision_hosts
 {
   uint64_t revision;
   uint32_t hosts;
@@ -47,9 +47,10 @@
 /* Counts the hosts by revision, asking along the tree, and calls DONE with
    the result, once, within a few seconds.  SHARES are sorted by falling
    revision; hosts of the list that nobody heard from count as revision 0.  */
-typedef void (*sync_status_done) (void *arg, const struct sync_share *shares,
-                                  size_t count);
-void sync_status (struct sync *sync, sync_status_done done, void *arg);
+typedef void (*sync_count_done) (void *arg,
+                                 const struct sync_revision_hosts *shares,
+                                 size_t count);
+void sync_count_revisions (struct sync *sync, sync_count_done done, void *arg);
 
 /* Sends the term record of DATABASE, as this host knows it, to all relays
    at once, without waiting for their next look at the platform.  */
--- a/src/core/sync_census.c
+++ b/src/core/sync_census.c
@@ -15,11 +15,11 @@
   struct count *prev;
   struct count *next;
   uint64_t call;
-  sync_status_done done;
+  sync_count_done done;
   void *arg;
   size_t outstanding;
   size_t share_count;
-  struct sync_share *shares;
+  struct sync_revision_hosts *shares;
 };
 
 /* A question to one host; falls back to REVISION if it stays unanswered.  */
@@ -57,7 +57,7 @@
   count->shares = mem_resize (count->shares, (count->share_count + 1)
                                                  * sizeof *count->shares);
   count->shares[count->share_count++]
-      = (struct sync_share){ .revision = revision, .hosts = hosts };
+      = (struct sync_revision_hosts){ .revision = revision, .hosts = hosts };
 }
 
 static struct count *
@@ -81,8 +81,8 @@
 static int
 by_falling_revision (const void *a, const void *b)
 {
-  uint64_t x = ((const struct sync_share *)a)->revision;
-  uint64_t y = ((const struct sync_share *)b)->revision;
+  uint64_t x = ((const struct sync_revision_hosts *)a)->revision;
+  uint64_t y = ((const struct sync_revision_hosts *)b)->revision;
   return x < y ? 1 : x > y ? -1 : 0;
 }
 
@@ -223,8 +223,7 @@
 }
 
 void
-sync_census_start (struct sync_census *census, sync_status_done done,
-                   void *arg)
+sync_census_start (struct sync_census *census, sync_count_done done, void *arg)
 {
   struct count *count = count_new (census);
   count->done = done;
@@ -245,7 +244,7 @@
   census->tree = tree;
   census->serve = serve;
   census->peers = peers;
-  peers_handle (peers, PEER_KIND_CENSUS, handle_census, census);
+  peers_register_handler (peers, PEER_KIND_CENSUS, handle_census, census);
   return census;
 }
 
--- a/src/core/sync_census.h
+++ b/src/core/sync_census.h
@@ -18,8 +18,8 @@
                                      struct peers *peers);
 void sync_census_free (struct sync_census *census);
 
-/* See sync_status.  */
-void sync_census_start (struct sync_census *census, sync_status_done done,
+/* See sync_count_revisions.  */
+void sync_census_start (struct sync_census *census, sync_count_done done,
                         void *arg);
 
 #endif
--- a/src/core/sync_hosts.c
+++ b/src/core/sync_hosts.c
@@ -90,7 +90,7 @@
 }
 
 void
-sync_hosts_end (struct sync_hosts *hosts, uint64_t index)
+sync_hosts_commit (struct sync_hosts *hosts, uint64_t index)
 {
   if (hosts->known && index < hosts->index)
     return;
@@ -128,5 +128,5 @@
   }
   if (!hosts->known)
     hosts->floor = index;
-  sync_hosts_end (hosts, index);
+  sync_hosts_commit (hosts, index);
 }
--- a/src/core/sync_hosts.h
+++ b/src/core/sync_hosts.h
@@ -40,9 +40,9 @@
 void sync_hosts_set (struct sync_hosts *hosts, uint64_t index,
                      const struct platform_host *list, size_t count);
 
-/* Takes in a change of one host at INDEX; sync_hosts_end must follow.  */
+/* Takes in a change of one host at INDEX; sync_hosts_commit must follow.  */
 void sync_hosts_change (struct sync_hosts *hosts, uint64_t index,
                         const struct platform_host *host, bool removed);
-void sync_hosts_end (struct sync_hosts *hosts, uint64_t index);
+void sync_hosts_commit (struct sync_hosts *hosts, uint64_t index);
 
 #endif
--- a/src/core/sync_serve.c
+++ b/src/core/sync_serve.c
@@ -212,7 +212,7 @@
   serve->peers = peers;
   serve->sweep.fire = sweep;
   serve->sweep.arg = serve;
-  peers_handle (peers, PEER_KIND_PULL, handle_pull, serve);
+  peers_register_handler (peers, PEER_KIND_PULL, handle_pull, serve);
   kernel_timer_set (state->kernel, &serve->sweep,
                     kernel_now (state->kernel) + SWEEP_MS);
   return serve;
--- a/src/core/sync_state.c
+++ b/src/core/sync_state.c
@@ -25,7 +25,7 @@
   state->store.view = view;
   state->hosts.members = members;
   state->terms_ms = INT64_MIN;
-  terms_watch (terms, term_changed, state);
+  terms_subscribe (terms, term_changed, state);
 }
 
 void
@@ -42,7 +42,8 @@
 }
 
 void
-sync_state_terms_at (struct sync_state *state, uint64_t index, clk_ms at_ms)
+sync_state_set_terms_index (struct sync_state *state, uint64_t index,
+                            clk_ms at_ms)
 {
   state->terms_known = true;
   if (index > state->terms_index)
@@ -62,7 +63,7 @@
     if (state->marks[i].incarnation == incarnation
         && strcmp (state->marks[i].host, host) == 0)
       return;
-  members_leaving (state->members, host, incarnation);
+  members_mark_leaving (state->members, host, incarnation);
   struct sync_mark *mark = &state->marks[state->mark_next];
   state->mark_next = (state->mark_next + 1) % SYNC_MARKS_MAX;
   memcpy (mark->host, member->address.name, NAME_BYTES);
--- a/src/core/sync_state.h
+++ b/src/core/sync_state.h
@@ -45,8 +45,8 @@
 bool sync_state_ready (const struct sync_state *state);
 
 /* Says that all term records up to INDEX are known, as of AT_MS.  */
-void sync_state_terms_at (struct sync_state *state, uint64_t index,
-                          clk_ms at_ms);
+void sync_state_set_terms_index (struct sync_state *state, uint64_t index,
+                                 clk_ms at_ms);
 
 /* Takes in that the host of this incarnation says it is leaving.  */
 void sync_state_leaving (struct sync_state *state, const char *host,
--- a/src/core/sync_store.c
+++ b/src/core/sync_store.c
@@ -44,7 +44,7 @@
   if (view_apply (store->view, team->name, team->json, team->json_bytes,
                   &findings))
     return;
-  metrics_count (kernel_metrics (store->kernel), "config_rejected_total");
+  metrics_increment (kernel_metrics (store->kernel), "config_rejected_total");
   for (size_t i = 0; i < findings.count; i++)
     log_event (kernel_log (store->kernel), LOG_ERR, "config_finding",
                LOG_S ("team", team->name), LOG_U ("index", team->index),
--- a/src/core/sync_update.c
+++ b/src/core/sync_update.c
@@ -251,7 +251,7 @@
   if (update->hosts_full)
     sync_hosts_set (hosts, update->hosts_index, list, count);
   else
-    sync_hosts_end (hosts, update->hosts_index);
+    sync_hosts_commit (hosts, update->hosts_index);
   free (list);
 }
 
@@ -266,7 +266,7 @@
   clk_ms at_ms = update->view_age_ms >= AGE_UNKNOWN_MS
                      ? INT64_MIN
                      : sent_ms - update->view_age_ms;
-  sync_state_terms_at (state, update->terms_index, at_ms);
+  sync_state_set_terms_index (state, update->terms_index, at_ms);
 }
 
 void
--- a/src/core/sync_watch.c
+++ b/src/core/sync_watch.c
@@ -198,8 +198,8 @@
         log_event (kernel_log (watch->kernel), LOG_ERR, "term_malformed",
                    LOG_S ("key", item->key), LOG_U ("index", item->index));
     }
-  sync_state_terms_at (watch->state, reply->index,
-                       watch->loops[LOOP_TERMS].sent_ms);
+  sync_state_set_terms_index (watch->state, reply->index,
+                              watch->loops[LOOP_TERMS].sent_ms);
 }
 
 static void
--- a/src/core/terms.c
+++ b/src/core/terms.c
@@ -155,10 +155,10 @@
 }
 
 void
-terms_watch (struct terms *terms,
-             void (*fn) (void *arg, const char *database,
-                         const struct term_record *record),
-             void *arg)
+terms_subscribe (struct terms *terms,
+                 void (*fn) (void *arg, const char *database,
+                             const struct term_record *record),
+                 void *arg)
 {
   struct term_watch *watch = mem_zalloc (sizeof *watch);
   watch->fn = fn;
@@ -280,7 +280,8 @@
 }
 
 bool
-term_record_holds (const struct term_record *record, struct position position)
+term_record_contains (const struct term_record *record,
+                      struct position position)
 {
   if (position.term > record->term)
     return false;
--- a/src/core/terms.h
+++ b/src/core/terms.h
@@ -63,10 +63,10 @@
                 const struct term_record *record);
 
 /* Calls FN whenever a record has changed.  */
-void terms_watch (struct terms *terms,
-                  void (*fn) (void *arg, const char *database,
-                              const struct term_record *record),
-                  void *arg);
+void terms_subscribe (struct terms *terms,
+                      void (*fn) (void *arg, const char *database,
+                                  const struct term_record *record),
+                      void *arg);
 
 /* Calls FN for each record of an index above INDEX, by rising index.  */
 void terms_each_since (struct terms *terms, uint64_t index,
@@ -89,7 +89,7 @@
                         struct term_record *record);
 
 /* Whether work at POSITION is part of RECORD's history.  */
-bool term_record_holds (const struct term_record *record,
-                        struct position position);
+bool term_record_contains (const struct term_record *record,
+                           struct position position);
 
 #endif
--- a/src/core/view.c
+++ b/src/core/view.c
@@ -198,14 +198,14 @@
 }
 
 struct view_database *
-view_databases (struct view *view)
+view_first_database (struct view *view)
 {
   sort (view);
   return view->databases;
 }
 
 struct view_service *
-view_services (struct view *view)
+view_first_service (struct view *view)
 {
   sort (view);
   return view->services;
--- a/src/core/view.h
+++ b/src/core/view.h
@@ -124,8 +124,8 @@
 /* Whether JSON may become the subtree of TEAM: view_apply takes it, all its
    settings are known, and no instance in it has the address of another
    team's.  Changes nothing; adds all faults to FINDINGS.  */
-bool view_check (struct view *view, const char *team, const char *json,
-                 size_t length, struct findings *findings);
+bool view_validate (struct view *view, const char *team, const char *json,
+                    size_t length, struct findings *findings);
 
 struct view_service *view_service (struct view *view, const char *name);
 struct view_database *view_database (struct view *view, const char *name);
@@ -165,8 +165,8 @@
 bool view_caller_verify (const struct view_caller *caller, const char *secret);
 
 /* First database and service in name order; continue with hh.next.  */
-struct view_database *view_databases (struct view *view);
-struct view_service *view_services (struct view *view);
+struct view_database *view_first_database (struct view *view);
+struct view_service *view_first_service (struct view *view);
 
 /* Rises by one with each view_apply and view_remove; for caches.  */
 uint64_t view_generation (const struct view *view);
--- a/src/core/view_check.c
+++ b/src/core/view_check.c
@@ -73,7 +73,7 @@
 {
   struct place *place, *next;
   struct place *places = collect_places (team);
-  for (struct view_database *d = view_databases (view); d != NULL;
+  for (struct view_database *d = view_first_database (view); d != NULL;
        d = d->hh.next)
     if (strcmp (d->service->team, team->name) != 0)
       compare_places (places, d, findings);
@@ -85,8 +85,8 @@
 }
 
 bool
-view_check (struct view *view, const char *team, const char *json,
-            size_t length, struct findings *findings)
+view_validate (struct view *view, const char *team, const char *json,
+               size_t length, struct findings *findings)
 {
   struct view_team *parsed
       = view_team_parse (team, json, length, true, findings);
--- a/src/core/viewmod.h
+++ b/src/core/view_module.h
@@ -1,4 +1,4 @@
-/* viewmod - makes the node's view known to its modules.
+/* view_module - makes the node's view known to its modules.
 
    Module name: "view".  */
 
@@ -9,9 +9,9 @@
 #include "kernel/kernel.h"
 
 /* Returns a module that owns VIEW.  */
-struct module *viewmod_new (struct view *view);
+struct module *view_module_new (struct view *view);
 
 /* Returns the view of this kernel's node.  */
-struct view *viewmod_get (struct kernel *kernel);
+struct view *view_module_get (struct kernel *kernel);
 
 #endif
--- a/src/kernel/histogram.c
+++ b/src/kernel/histogram.c
@@ -6,7 +6,7 @@
     = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000 };
 
 void
-histogram_note (struct histogram *histogram, clk_ms span_ms)
+histogram_observe (struct histogram *histogram, clk_ms span_ms)
 {
   size_t i = 0;
   while (i < HISTOGRAM_BOUNDS && span_ms > bounds_ms[i])
--- a/src/kernel/histogram.h
+++ b/src/kernel/histogram.h
@@ -20,7 +20,7 @@
   clk_ms sum_ms;
 };
 
-void histogram_note (struct histogram *histogram, clk_ms span_ms);
+void histogram_observe (struct histogram *histogram, clk_ms span_ms);
 
 /* Returns the bound below which SHARE (0 to 1) of the durations are;
    CLK_NEVER if it is beyond all bounds.  */
--- a/src/kernel/metrics.c
+++ b/src/kernel/metrics.c
@@ -73,7 +73,7 @@
 }
 
 void
-metrics_count (struct metrics *metrics, const char *name)
+metrics_increment (struct metrics *metrics, const char *name)
 {
   (*metrics_value (metrics, name))++;
 }
--- a/src/kernel/metrics.h
+++ b/src/kernel/metrics.h
@@ -19,7 +19,7 @@
 int64_t *metrics_value (struct metrics *metrics, const char *name);
 
 /* Adds 1 to the counter named NAME.  */
-void metrics_count (struct metrics *metrics, const char *name);
+void metrics_increment (struct metrics *metrics, const char *name);
 
 /* Returns the histogram named NAME with LABELS, created empty.  The pointer
    stays valid.  */
--- a/src/port/address.c
+++ b/src/port/address.c
@@ -48,7 +48,7 @@
   set_option (fd, IPPROTO_TCP, TCP_KEEPIDLE, ADDRESS_KEEPALIVE_IDLE_S);
   set_option (fd, IPPROTO_TCP, TCP_KEEPINTVL, ADDRESS_KEEPALIVE_IDLE_S);
   set_option (fd, IPPROTO_TCP, TCP_KEEPCNT, ADDRESS_KEEPALIVE_PROBES);
-  set_option (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, ADDRESS_UNANSWERED_MS);
+  set_option (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, ADDRESS_USER_TIMEOUT_MS);
   set_option (fd, IPPROTO_TCP, TCP_NODELAY, 1);
 }
 
--- a/src/port/address.h
+++ b/src/port/address.h
@@ -23,7 +23,7 @@
 
 /* TCP_USER_TIMEOUT: limit on the time that sent data stays
    unacknowledged.  */
-#define ADDRESS_UNANSWERED_MS 3000
+#define ADDRESS_USER_TIMEOUT_MS 3000
 
 /* Enables keep-alive and the user timeout on FD, so that a peer that stops
    answering is detected within seconds, and disables Nagle's algorithm.  Does
--- a/src/port/consul.c
+++ b/src/port/consul.c
@@ -113,7 +113,7 @@
     return;
   char *name = mem_printf ("platform_%s_total{purpose=\"%s\",%s=\"%s\"}",
                            family, call->purpose, label, value);
-  metrics_count (self->metrics, name);
+  metrics_increment (self->metrics, name);
   free (name);
 }
 
@@ -193,7 +193,7 @@
   if (call->unsendable)
     status = PLATFORM_REJECTED;
   else if (call->conn != NULL && call->conn->sent)
-    status = kv_lost_status (call->kind);
+    status = kv_unanswered_status (call->kind);
   cancel_exchange (call);
   finish_status (call, status);
 }
@@ -211,7 +211,7 @@
   int code = http != NULL ? evhttp_request_get_response_code (http) : 0;
   if (http == NULL)
     {
-      finish_status (call, kv_lost_status (call->kind));
+      finish_status (call, kv_unanswered_status (call->kind));
       return;
     }
   if (code == 0)
@@ -219,7 +219,7 @@
       finish_status (call, PLATFORM_UNAVAILABLE);
       return;
     }
-  struct kv_answer response;
+  struct kv_response response;
   struct evbuffer *body = evhttp_request_get_input_buffer (http);
   struct evkeyvalq *headers = evhttp_request_get_input_headers (http);
   conn->consul->codec->parse (&response, call->kind, code,
@@ -227,7 +227,7 @@
                               (const char *)evbuffer_pullup (body, -1),
                               evbuffer_get_length (body));
   finish (call, &response.reply);
-  kv_answer_clear (&response);
+  kv_response_clear (&response);
 }
 
 static void
--- a/src/port/consul_codec.h
+++ b/src/port/consul_codec.h
@@ -8,9 +8,10 @@
 
 bool consul_request_build (struct kv_request *request,
                            const struct platform_call *call);
-void consul_answer_parse (struct kv_answer *response,
-                          enum platform_call_kind kind, int code,
-                          const char *index, const char *body, size_t length);
+void consul_response_parse (struct kv_response *response,
+                            enum platform_call_kind kind, int code,
+                            const char *index, const char *body,
+                            size_t length);
 
 extern const struct kv_codec consul_codec;
 
--- a/src/port/consul_request.c
+++ b/src/port/consul_request.c
@@ -27,7 +27,7 @@
 static char *
 key_uri (const struct platform_call *call)
 {
-  char *key = kv_encode (call->key);
+  char *key = kv_percent_encode (call->key);
   char *path = mem_printf ("/v1/kv/%s", key);
   char *uri = read_uri (path, call,
                         call->kind == PLATFORM_LIST ? "&recurse=true" : "");
@@ -46,7 +46,7 @@
 static void
 set_value (json_t *op, const struct platform_write *write)
 {
-  char *text = kv_base64 (write->value, write->value_bytes);
+  char *text = kv_base64_encode (write->value, write->value_bytes);
   json_t *fields = json_object_get (op, "KV");
   json_object_set_new (fields, "Value", json_string (text));
   if (write->lease != NULL)
@@ -110,7 +110,7 @@
     }
   if (call->lease == NULL)
     return false;
-  char *id = kv_encode (call->lease);
+  char *id = kv_percent_encode (call->lease);
   request->uri
       = mem_printf ("/v1/session/%s/%s",
                     call->kind == PLATFORM_RENEW ? "renew" : "destroy", id);
@@ -123,8 +123,8 @@
                       const struct platform_call *call)
 {
   *request
-      = (struct kv_request){ .verb
-                             = kv_call_writes (call->kind) ? KV_PUT : KV_GET };
+      = (struct kv_request){ .verb = kv_call_is_write (call->kind) ? KV_PUT
+                                                                   : KV_GET };
   switch (call->kind)
     {
     case PLATFORM_GET:
@@ -143,4 +143,4 @@
 }
 
 const struct kv_codec consul_codec
-    = { .build = consul_request_build, .parse = consul_answer_parse };
+    = { .build = consul_request_build, .parse = consul_response_parse };
--- a/src/port/consul_answer.c
+++ b/src/port/consul_response.c
@@ -27,11 +27,11 @@
   const char *value = json_string_value (json_object_get (entry, "Value"));
   item->key = mem_strdup (key);
   item->index = (uint64_t)index;
-  return kv_decode_value (item, value != NULL ? value : "");
+  return kv_base64_decode_item (item, value != NULL ? value : "");
 }
 
 static bool
-parse_items (struct kv_answer *response, json_t *array, const char *wrapper)
+parse_items (struct kv_response *response, json_t *array, const char *wrapper)
 {
   size_t count = json_array_size (array);
   response->items = mem_zalloc ((count + 1) * sizeof *response->items);
@@ -49,7 +49,7 @@
 }
 
 static bool
-parse_written (struct kv_answer *response, json_t *body)
+parse_written (struct kv_response *response, json_t *body)
 {
   json_t *results = json_object_get (body, "Results");
   if (!json_is_array (results) && !json_is_null (results))
@@ -92,7 +92,7 @@
 /* Skips invalid registrations, so that one of them does not hide the other
    hosts.  */
 static bool
-parse_hosts (struct kv_answer *response, json_t *array)
+parse_hosts (struct kv_response *response, json_t *array)
 {
   size_t count = json_array_size (array);
   size_t used = 0;
@@ -108,7 +108,7 @@
 }
 
 static bool
-parse_lease (struct kv_answer *response, json_t *body)
+parse_lease (struct kv_response *response, json_t *body)
 {
   const char *id = json_string_value (json_object_get (body, "ID"));
   if (id == NULL || id[0] == '\0')
@@ -119,7 +119,7 @@
 }
 
 static bool
-parse_body (struct kv_answer *response, enum platform_call_kind kind,
+parse_body (struct kv_response *response, enum platform_call_kind kind,
             json_t *body)
 {
   switch (kind)
@@ -152,16 +152,17 @@
   if (code == HTTP_TOO_MANY_CODE || code == HTTP_UNAVAILABLE_CODE)
     return PLATFORM_UNAVAILABLE;
   if (code >= HTTP_SERVER_ERROR_CODE)
-    return kv_lost_status (kind);
-  return code > HTTP_OK_CODE + 99 ? PLATFORM_REJECTED : kv_lost_status (kind);
+    return kv_unanswered_status (kind);
+  return code > HTTP_OK_CODE + 99 ? PLATFORM_REJECTED
+                                  : kv_unanswered_status (kind);
 }
 
 void
-consul_answer_parse (struct kv_answer *response, enum platform_call_kind kind,
-                     int code, const char *index, const char *body,
-                     size_t length)
+consul_response_parse (struct kv_response *response,
+                       enum platform_call_kind kind, int code,
+                       const char *index, const char *body, size_t length)
 {
-  *response = (struct kv_answer){ 0 };
+  *response = (struct kv_response){ 0 };
   if (index != NULL)
     response->reply.index = strtoull (index, NULL, 10);
   if (code != HTTP_OK_CODE)
@@ -176,6 +177,6 @@
   json_decref (json);
   if (valid)
     return;
-  kv_answer_clear (response);
-  response->reply.status = kv_lost_status (kind);
+  kv_response_clear (response);
+  response->reply.status = kv_unanswered_status (kind);
 }
--- a/src/port/kv_codec.c
+++ b/src/port/kv_codec.c
@@ -9,7 +9,7 @@
 #include "kernel/mem.h"
 
 bool
-kv_call_writes (enum platform_call_kind kind)
+kv_call_is_write (enum platform_call_kind kind)
 {
   switch (kind)
     {
@@ -24,13 +24,13 @@
 }
 
 enum platform_status
-kv_lost_status (enum platform_call_kind kind)
+kv_unanswered_status (enum platform_call_kind kind)
 {
-  return kv_call_writes (kind) ? PLATFORM_LOST : PLATFORM_UNAVAILABLE;
+  return kv_call_is_write (kind) ? PLATFORM_LOST : PLATFORM_UNAVAILABLE;
 }
 
 char *
-kv_encode (const char *text)
+kv_percent_encode (const char *text)
 {
   static const char unreserved[] = "abcdefghijklmnopqrstuvwxyz"
                                    "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./~";
@@ -45,7 +45,7 @@
 }
 
 char *
-kv_base64 (const char *data, size_t bytes)
+kv_base64_encode (const char *data, size_t bytes)
 {
   size_t size
       = sodium_base64_ENCODED_LEN (bytes, sodium_base64_VARIANT_ORIGINAL);
@@ -56,7 +56,7 @@
 }
 
 bool
-kv_decode_value (struct platform_item *item, const char *text)
+kv_base64_decode_item (struct platform_item *item, const char *text)
 {
   size_t length = strlen (text);
   item->value = mem_zalloc (length + 1);
@@ -78,7 +78,7 @@
 }
 
 void
-kv_answer_clear (struct kv_answer *response)
+kv_response_clear (struct kv_response *response)
 {
   for (size_t i = 0; response->items != NULL && i < response->reply.item_count;
        i++)
@@ -89,5 +89,5 @@
   free (response->items);
   free (response->hosts);
   free (response->lease);
-  *response = (struct kv_answer){ 0 };
+  *response = (struct kv_response){ 0 };
 }
--- a/src/port/kv_codec.h
+++ b/src/port/kv_codec.h
@@ -9,7 +9,7 @@
 
 #include "port/platform_port.h"
 
-enum kv_verb
+enum kv_method
 {
   KV_GET,
   KV_PUT,
@@ -20,7 +20,7 @@
 /* Owns its strings.  */
 struct kv_request
 {
-  enum kv_verb verb;
+  enum kv_method verb;
   char *uri;
   char *body; /* NULL if none; JSON */
 };
@@ -28,7 +28,7 @@
 void kv_request_clear (struct kv_request *request);
 
 /* A reply and the memory that it points to.  */
-struct kv_answer
+struct kv_response
 {
   struct platform_reply reply;
   struct platform_item *items;
@@ -36,26 +36,26 @@
   char *lease;
 };
 
-void kv_answer_clear (struct kv_answer *response);
+void kv_response_clear (struct kv_response *response);
 
 /* Returns whether calls of KIND change stored data or leases.  */
-bool kv_call_writes (enum platform_call_kind kind);
+bool kv_call_is_write (enum platform_call_kind kind);
 
 /* Returns the status of a call of KIND that was sent but got no response:
    PLATFORM_LOST for a write, which may have taken effect, else
    PLATFORM_UNAVAILABLE.  */
-enum platform_status kv_lost_status (enum platform_call_kind kind);
+enum platform_status kv_unanswered_status (enum platform_call_kind kind);
 
 /* Returns TEXT with percent-encoding of all characters but letters, digits
    and "-_./~"; the caller frees it.  */
-char *kv_encode (const char *text);
+char *kv_percent_encode (const char *text);
 
 /* Returns BYTES bytes of DATA in base64; the caller frees it.  */
-char *kv_base64 (const char *data, size_t bytes);
+char *kv_base64_encode (const char *data, size_t bytes);
 
 /* Decodes base64 TEXT into the value of ITEM.  Returns false if TEXT is
    malformed.  */
-bool kv_decode_value (struct platform_item *item, const char *text);
+bool kv_base64_decode_item (struct platform_item *item, const char *text);
 
 struct kv_codec
 {
@@ -65,7 +65,7 @@
   /* Fills RESPONSE from the HTTP response to a call of KIND: status CODE,
      header X-Consul-Index (NULL if absent) and body.  A malformed body counts
      as no response.  */
-  void (*parse) (struct kv_answer *response, enum platform_call_kind kind,
+  void (*parse) (struct kv_response *response, enum platform_call_kind kind,
                  int code, const char *index, const char *body, size_t length);
 };
 
--- a/src/port/rpc_client.c
+++ b/src/port/rpc_client.c
@@ -237,7 +237,7 @@
 static bool
 link_reply (struct rpc_link *link, uint8_t *data, size_t size_bytes)
 {
-  struct rpc_reply_head head;
+  struct rpc_reply_header head;
   struct rpc_call *call;
   peer_message message;
   rpc_reply_read (link->port->secret, data, size_bytes, &head);
--- a/src/port/rpc_message.c
+++ b/src/port/rpc_message.c
@@ -143,7 +143,7 @@
 
 enum rpc_status
 rpc_call_read (const uint8_t *secret, uint8_t *data, size_t size_bytes,
-               struct rpc_call_head *head, bool *answerable)
+               struct rpc_call_header *head, bool *answerable)
 {
   char cred[MAX_AUTH_BYTES];
   char verf[MAX_AUTH_BYTES];
@@ -214,7 +214,7 @@
 
 enum rpc_status
 rpc_reply_read (const uint8_t *secret, uint8_t *data, size_t size_bytes,
-                struct rpc_reply_head *head)
+                struct rpc_reply_header *head)
 {
   char verf[MAX_AUTH_BYTES];
   struct rpc_msg message = { .rm_direction = REPLY };
--- a/src/port/rpc_message.h
+++ b/src/port/rpc_message.h
@@ -33,7 +33,7 @@
 };
 
 /* Head of a call as received.  */
-struct rpc_call_head
+struct rpc_call_header
 {
   uint32_t xid;
   uint32_t program;
@@ -44,7 +44,7 @@
 };
 
 /* Head of a reply as received.  */
-struct rpc_reply_head
+struct rpc_reply_header
 {
   uint32_t xid;
   enum rpc_status status;
@@ -79,7 +79,7 @@
 /* Reads a call.  BROKEN: HEAD's xid is set only if *ANSWERABLE, in which
    case a denial may be sent.  */
 enum rpc_status rpc_call_read (const uint8_t *secret, uint8_t *data,
-                               size_t size_bytes, struct rpc_call_head *head,
+                               size_t size_bytes, struct rpc_call_header *head,
                                bool *answerable);
 
 /* Appends an accepted reply: STAT as in accept_stat; BODY for SUCCESS.  */
@@ -93,6 +93,6 @@
 /* Reads a reply.  */
 enum rpc_status rpc_reply_read (const uint8_t *secret, uint8_t *data,
                                 size_t size_bytes,
-                                struct rpc_reply_head *head);
+                                struct rpc_reply_header *head);
 
 #endif
--- a/src/port/rpc_port.c
+++ b/src/port/rpc_port.c
@@ -32,7 +32,7 @@
 rpc_count (struct rpc_port *port, const char *name)
 {
   if (port->options.metrics != NULL)
-    metrics_count (port->options.metrics, name);
+    metrics_increment (port->options.metrics, name);
 }
 
 /* No keepalive: probes of idle connections between all pairs of hosts would
--- a/src/port/rpc_server.c
+++ b/src/port/rpc_server.c
@@ -89,7 +89,7 @@
 
 /* Returns why a call can't be taken; SUCCESS if it can.  */
 static enum accept_stat
-check_call (const struct rpc_conn *conn, const struct rpc_call_head *head)
+check_call (const struct rpc_conn *conn, const struct rpc_call_header *head)
 {
   if (head->program != SAVORYWAY_PEER)
     return PROG_UNAVAIL;
@@ -104,7 +104,7 @@
 }
 
 static void
-conn_take_call (struct rpc_conn *conn, const struct rpc_call_head *head)
+conn_take_call (struct rpc_conn *conn, const struct rpc_call_header *head)
 {
   struct rpc_port *port = conn->port;
   peer_message message;
@@ -135,7 +135,7 @@
 static bool
 conn_record (struct rpc_conn *conn, uint8_t *data, size_t size_bytes)
 {
-  struct rpc_call_head head;
+  struct rpc_call_header head;
   bool answerable;
   if (rpc_call_read (conn->port->secret, data, size_bytes, &head, &answerable)
       != RPC_STATUS_OK)
--- a/src/proxy/backend_conn.c
+++ b/src/proxy/backend_conn.c
@@ -201,8 +201,8 @@
   DL_APPEND (backend->conns, conn);
   backend->conn_count++;
   backend->opening++;
-  metrics_count (kernel_metrics (backend->options.kernel),
-                 "connections_opened_total");
+  metrics_increment (kernel_metrics (backend->options.kernel),
+                     "connections_opened_total");
   kernel_timer_set (backend->options.kernel, &conn->limit,
                     backend_now (backend) + BACKEND_CONNECT_TIMEOUT_MS);
   conn->link = backend->options.port->ops->open (backend->options.port,
--- a/src/proxy/caller_metrics.c
+++ b/src/proxy/caller_metrics.c
@@ -72,7 +72,7 @@
                        enum code code, clk_ms spent_ms)
 {
   (*self->statements[code])++;
-  histogram_note (self->answer_ms[kind][class_of (code)], spent_ms);
+  histogram_observe (self->answer_ms[kind][class_of (code)], spent_ms);
 }
 
 void
@@ -80,5 +80,5 @@
 {
   char name[96];
   snprintf (name, sizeof name, "statements_given_up_total{why=\"%s\"}", why);
-  metrics_count (self->metrics, name);
+  metrics_increment (self->metrics, name);
 }
--- a/src/proxy/caller_run.c
+++ b/src/proxy/caller_run.c
@@ -205,11 +205,12 @@
   const struct run_request *run = &caller->run;
   struct caller_metrics *metrics = caller_metrics_of (caller);
   const struct group *group = caller_group (caller);
-  histogram_note (metrics->wait_ms[run->route.kind],
-                  run->sent_ms - run->arrived_ms);
+  histogram_observe (metrics->wait_ms[run->route.kind],
+                     run->sent_ms - run->arrived_ms);
   if (run->has_floor && group != NULL)
-    histogram_note (metrics->sample_age_ms,
-                    run->sent_ms - samples_newest_ms (group_samples (group)));
+    histogram_observe (metrics->sample_age_ms,
+                       run->sent_ms
+                           - samples_newest_ms (group_samples (group)));
 }
 
 static void
--- a/src/proxy/promoter.c
+++ b/src/proxy/promoter.c
@@ -140,8 +140,8 @@
   change->token = token;
   set_stage (change, CHANGE_ORDERED);
   log_change (change, "promotion_ordered", change->chosen);
-  metrics_count (kernel_metrics (promoter->base.kernel),
-                 "promotions_ordered_total");
+  metrics_increment (kernel_metrics (promoter->base.kernel),
+                     "promotions_ordered_total");
   promoter->options.port->ops->promote (promoter->options.port, change->group,
                                         change->chosen, promoter->options.host,
                                         token, on_promoted, change);
--- a/tests/fuzz/sim_control.c
+++ b/tests/fuzz/sim_control.c
@@ -6,7 +6,7 @@
 
 #include "core/peers.h"
 #include "core/sync_head.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 #include "kernel/mutant.h"
 
@@ -123,7 +123,7 @@
   struct terms *terms = terms_new ();
   struct sync *sync = sync_new (&control->platform.ports[index].base, view,
                                 seed_count, seeds);
-  kernel_register (host->kernel, viewmod_new (view));
+  kernel_register (host->kernel, view_module_new (view));
   kernel_register (host->kernel, members_module (members));
   kernel_register (host->kernel,
                    peers_module (peers_new (&control->net.ports[index].base)));
--- a/tests/fuzz/sim_rig.c
+++ b/tests/fuzz/sim_rig.c
@@ -9,7 +9,7 @@
 #include "core/peers.h"
 #include "core/peers_copy.h"
 #include "core/router.h"
-#include "core/viewmod.h"
+#include "core/view_module.h"
 #include "kernel/mem.h"
 
 #define FIRST_PORT 100
@@ -304,7 +304,7 @@
   gateway_set_view_age (host->gateway, view_age, rig);
   struct peers *peers = peers_new (&host->peer.base);
   struct router *router = router_new ();
-  kernel_register (host->kernel, viewmod_new (host->view));
+  kernel_register (host->kernel, view_module_new (host->view));
   kernel_register (host->kernel, members_module (host->members));
   kernel_register (host->kernel, peers_module (peers));
   kernel_register (host->kernel, terms_module (host->terms));
--- a/tests/standin/fleet_standin.c
+++ b/tests/standin/fleet_standin.c
@@ -189,7 +189,7 @@
 static void
 put_text (const char *key, const char *text)
 {
-  char *value = kv_base64 (text, strlen (text));
+  char *value = kv_base64_encode (text, strlen (text));
   put_key (key, value, 0);
   free (value);
 }
--- a/tests/unit/test_consul.c
+++ b/tests/unit/test_consul.c
@@ -395,7 +395,7 @@
     "[{\"Key\":7,\"ModifyIndex\":1,\"Value\":null}]",
     "{\"ID\":\"\"}",
   };
-  struct kv_answer answer;
+  struct kv_response answer;
   for (size_t i = 0; i < sizeof bodies / sizeof bodies[0]; i++)
     for (int kind = PLATFORM_GET; kind <= PLATFORM_LEASE; kind++)
       {
@@ -404,16 +404,16 @@
         if (is_list
             || (kind == PLATFORM_HOSTS && body[0] == '[' && body[1] != '\0'))
           continue;
-        consul_answer_parse (&answer, kind, 200, "x", body, strlen (body));
-        ck_assert_int_eq (answer.reply.status, kv_lost_status (kind));
+        consul_response_parse (&answer, kind, 200, "x", body, strlen (body));
+        ck_assert_int_eq (answer.reply.status, kv_unanswered_status (kind));
         ck_assert_uint_eq (answer.reply.item_count, 0);
-        kv_answer_clear (&answer);
+        kv_response_clear (&answer);
       }
-  consul_answer_parse (&answer, PLATFORM_WRITE, 500, NULL, NULL, 0);
+  consul_response_parse (&answer, PLATFORM_WRITE, 500, NULL, NULL, 0);
   ck_assert_int_eq (answer.reply.status, PLATFORM_LOST);
-  consul_answer_parse (&answer, PLATFORM_WRITE, 429, NULL, NULL, 0);
+  consul_response_parse (&answer, PLATFORM_WRITE, 429, NULL, NULL, 0);
   ck_assert_int_eq (answer.reply.status, PLATFORM_UNAVAILABLE);
-  consul_answer_parse (&answer, PLATFORM_WRITE, 403, NULL, NULL, 0);
+  consul_response_parse (&answer, PLATFORM_WRITE, 403, NULL, NULL, 0);
   ck_assert_int_eq (answer.reply.status, PLATFORM_REJECTED);
 }
 
@@ -443,12 +443,13 @@
       size_t length = strlen (body);
       for (uint64_t k = rng_below (&rng, 4) + 1; k > 0; k--)
         body[rng_below (&rng, length)] = (char)rng_below (&rng, 256);
-      struct kv_answer answer;
-      consul_answer_parse (&answer, kind, 200, "7", body,
-                           rng_below (&rng, length + 1));
+      struct kv_response answer;
+      consul_response_parse (&answer, kind, 200, "7", body,
+                             rng_below (&rng, length + 1));
       enum platform_status status = answer.reply.status;
-      ck_assert (status == PLATFORM_OK || status == kv_lost_status (kind));
-      kv_answer_clear (&answer);
+      ck_assert (status == PLATFORM_OK
+                 || status == kv_unanswered_status (kind));
+      kv_response_clear (&answer);
       free (body);
     }
 }
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -313,7 +313,8 @@
   int answer = -1;
   add_primary_kind ();
   load_writer_reset_gap (writer);
-  failover_order (control.failovers[1], "t/s/d", NULL, keep_answer, &answer);
+  failover_switch_over (control.failovers[1], "t/s/d", NULL, keep_answer,
+                        &answer);
   sim_run (&control.sim, 2000);
   ck_assert_int_eq (answer, 1);
   ck_assert_int_le (load_writer_gap_ms (writer), 500);
@@ -323,8 +324,8 @@
 {
   int answer = -1;
   load_writer_reset_gap (writer);
-  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", keep_answer,
-                  &answer);
+  failover_switch_over (control.failovers[2], "t/s/d", "t/s/d/c", keep_answer,
+                        &answer);
   sim_run (&control.sim, 2000);
   ck_assert_int_eq (answer, 1);
   check_term (2);
@@ -341,8 +342,8 @@
   while (failover_guards (control.failovers[host]) > 0)
     host++;
   sim_run (&control.sim, (clk_ms)100 * _i);
-  failover_order (control.failovers[host], "t/s/d", NULL, keep_answer,
-                  &answer);
+  failover_switch_over (control.failovers[host], "t/s/d", NULL, keep_answer,
+                        &answer);
   sim_run (&control.sim, 5000);
   ck_assert_int_eq (answer, 1);
   check_term (2);
@@ -357,10 +358,10 @@
       sim_control_cut (&control, 1, i, i != 1);
       sim_control_cut (&control, 2, i, i != 2);
     }
-  failover_order (control.failovers[1], "t/s/d", "t/s/d/b", keep_answer,
-                  &answers[0]);
-  failover_order (control.failovers[2], "t/s/d", "t/s/d/c", keep_answer,
-                  &answers[1]);
+  failover_switch_over (control.failovers[1], "t/s/d", "t/s/d/b", keep_answer,
+                        &answers[0]);
+  failover_switch_over (control.failovers[2], "t/s/d", "t/s/d/c", keep_answer,
+                        &answers[1]);
   sim_run (&control.sim, 500);
   for (size_t i = 0; i < 5; i++)
     {
@@ -381,15 +382,15 @@
   for (size_t i = 0; i < 2; i++)
     {
       answer = -1;
-      failover_order (control.failovers[1], "t/s/d", targets[i], keep_answer,
-                      &answer);
+      failover_switch_over (control.failovers[1], "t/s/d", targets[i],
+                            keep_answer, &answer);
       ck_assert_int_eq (answer, -1);
       sim_run (&control.sim, 100);
       ck_assert_int_eq (answer, 0);
     }
   answer = -1;
-  failover_order (control.failovers[1], "t/s/none", NULL, keep_answer,
-                  &answer);
+  failover_switch_over (control.failovers[1], "t/s/none", NULL, keep_answer,
+                        &answer);
   sim_run (&control.sim, 100);
   ck_assert_int_eq (answer, 0);
   check_term (1);
@@ -398,13 +399,15 @@
 UNIT_TEST (test_a_hold_forbids_promotions_until_it_is_lifted)
 {
   int answer = -1;
-  failover_hold (control.failovers[0], "t/s/d", true, keep_answer, &answer);
+  failover_set_hold (control.failovers[0], "t/s/d", true, keep_answer,
+                     &answer);
   sim_run (&control.sim, 500);
   ck_assert_int_eq (answer, 1);
   sim_instance_kill (control.instances[0]);
   sim_run (&control.sim, 10000);
   check_term (1);
-  failover_hold (control.failovers[3], "t/s/d", false, keep_answer, &answer);
+  failover_set_hold (control.failovers[3], "t/s/d", false, keep_answer,
+                     &answer);
   sim_run (&control.sim, 4000);
   check_term (2);
 }
--- a/tests/unit/test_kernel.c
+++ b/tests/unit/test_kernel.c
@@ -103,7 +103,7 @@
 UNIT_TEST (test_metrics_print_sorted)
 {
   struct metrics *metrics = metrics_new ();
-  metrics_count (metrics, "b_total");
+  metrics_increment (metrics, "b_total");
   *metrics_value (metrics, "a{x=\"1\"}") += 5;
   char *text = metrics_print (metrics);
   ck_assert_str_eq (text, "savoryway_a{x=\"1\"} 5\nsavoryway_b_total 1\n");
@@ -117,8 +117,8 @@
   struct histogram *histogram = metrics_histogram (metrics, "x_ms", "a=\"b\"");
   ck_assert_ptr_eq (histogram, metrics_histogram (metrics, "x_ms", "a=\"b\""));
   for (clk_ms span_ms = 1; span_ms <= 100; span_ms++)
-    histogram_note (histogram, span_ms);
-  histogram_note (histogram, 60000);
+    histogram_observe (histogram, span_ms);
+  histogram_observe (histogram, 60000);
   ck_assert_int_eq (histogram_quantile (histogram, 0.5), 100);
   ck_assert_int_eq (histogram_quantile (histogram, 0.1), 20);
   ck_assert_int_eq (histogram_quantile (histogram, 1.0), CLK_NEVER);
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -121,7 +121,7 @@
   uint64_t changed[MEMBERS_CHANGES];
   size_t count;
   uint64_t generation = members_generation (members);
-  members_leaving (members, "host-007", 107);
+  members_mark_leaving (members, "host-007", 107);
   members_set_list (members, 6, hosts, HOSTS - 1);
   ck_assert (members_changed (members, generation, changed, &count));
   ck_assert_uint_eq (count, 2);
@@ -173,8 +173,8 @@
 {
   for (int i = 0; i < 3; i++)
     members_failed (members, "host-005");
-  members_leaving (members, "host-006", 106);
-  members_leaving (members, "host-007", 99);
+  members_mark_leaving (members, "host-006", 106);
+  members_mark_leaving (members, "host-007", 99);
   ck_assert (members_find (members, "host-005")->suspected);
   ck_assert (members_find (members, "host-006")->leaving);
   ck_assert (!members_find (members, "host-007")->leaving);
@@ -192,8 +192,8 @@
   char name[NAME_BYTES];
   memcpy (name, first_for ("k")->address.name, NAME_BYTES);
   uint64_t generation = members_generation (members);
-  members_leaving (members, name,
-                   members_find (members, name)->address.incarnation);
+  members_mark_leaving (members, name,
+                        members_find (members, name)->address.incarnation);
   ck_assert_uint_gt (members_generation (members), generation);
   ck_assert_str_ne (first_for ("k")->address.name, name);
 }
--- a/tests/unit/test_rpc.c
+++ b/tests/unit/test_rpc.c
@@ -279,11 +279,11 @@
   return size;
 }
 
-static struct rpc_reply_head
+static struct rpc_reply_header
 raw_reply (int fd)
 {
   uint8_t data[RECORD_ROOM];
-  struct rpc_reply_head head;
+  struct rpc_reply_header head;
   pump ();
   ssize_t size = recv (fd, data, sizeof data, MSG_DONTWAIT);
   ck_assert_int_gt (size, 4);
@@ -298,7 +298,7 @@
   int fd = raw_connect ();
   size_t size = build_pull (data, 5, RPC_VERSION_HIGH + 1);
   ck_assert_int_eq (write (fd, data, size), (ssize_t)size);
-  struct rpc_reply_head head = raw_reply (fd);
+  struct rpc_reply_header head = raw_reply (fd);
   ck_assert_int_eq (head.status, RPC_STATUS_VERSION);
   ck_assert_uint_eq (head.version_high, RPC_VERSION_HIGH);
   ck_assert_uint_eq (head.xid, 5);
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -223,14 +223,14 @@
 UNIT_TEST (test_a_leaving_mark_overtakes_the_list)
 {
   start (two_domains, 3000);
-  members_leaving (control.members[1], "host-1", control.incarnations[1]);
+  members_mark_leaving (control.members[1], "host-1", control.incarnations[1]);
   sim_run (&control.sim, 1500);
   for (size_t i = 0; i < 5; i++)
     ck_assert (members_find (control.members[i], "host-1")->leaving);
 }
 
 static void
-keep_shares (void *arg, const struct sync_share *shares, size_t count)
+keep_shares (void *arg, const struct sync_revision_hosts *shares, size_t count)
 {
   uint32_t *hosts = arg;
   for (size_t i = 0; i < count; i++)
@@ -242,14 +242,14 @@
 {
   uint32_t hosts[4] = { 0 };
   start (two_domains, 6000);
-  sync_status (control.syncs[2], keep_shares, hosts);
+  sync_count_revisions (control.syncs[2], keep_shares, hosts);
   sim_run (&control.sim, 3000);
   ck_assert_uint_eq (hosts[1], 5);
   sim_control_isolate (&control, 2, true);
   sim_control_configure (&control, "t", TEAM_JSON (3), 2);
   sim_run (&control.sim, 6000);
   memset (hosts, 0, sizeof hosts);
-  sync_status (control.syncs[3], keep_shares, hosts);
+  sync_count_revisions (control.syncs[3], keep_shares, hosts);
   sim_run (&control.sim, 3000);
   ck_assert_uint_eq (hosts[2], 4);
   ck_assert_uint_eq (hosts[0] + hosts[1], 1);
--- a/tests/unit/test_terms.c
+++ b/tests/unit/test_terms.c
@@ -32,7 +32,7 @@
   kernel_register (kernel, terms_module (terms));
   kernel_start (kernel);
   changes = 0;
-  terms_watch (terms, count_change, NULL);
+  terms_subscribe (terms, count_change, NULL);
 }
 
 static void
@@ -157,12 +157,12 @@
     { { 7, 1 }, false },
   };
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
-    ck_assert_msg (term_record_holds (&record, cases[i].position)
+    ck_assert_msg (term_record_contains (&record, cases[i].position)
                        == cases[i].holds,
                    "case %zu", i);
   struct term_record fresh = { .term = 2 };
-  ck_assert (term_record_holds (&fresh, (struct position){ 1, 5 }));
-  ck_assert (!term_record_holds (&fresh, (struct position){ 3, 5 }));
+  ck_assert (term_record_contains (&fresh, (struct position){ 1, 5 }));
+  ck_assert (!term_record_contains (&fresh, (struct position){ 3, 5 }));
 }
 
 UNIT_MAIN ("terms", .setup = setup, .teardown = teardown)
--- a/tests/unit/test_view.c
+++ b/tests/unit/test_view.c
@@ -43,7 +43,7 @@
 check (const char *team, const char *text)
 {
   char *json = quoted (text);
-  bool ok = view_check (view, team, json, strlen (json), &findings);
+  bool ok = view_validate (view, team, json, strlen (json), &findings);
   free (json);
   return ok;
 }
@@ -75,7 +75,7 @@
 UNIT_TEST (test_apply_indexes_the_subtree_in_name_order)
 {
   ck_assert (apply ("dagohoy", good));
-  struct view_database *database = view_databases (view);
+  struct view_database *database = view_first_database (view);
   ck_assert_str_eq (database->name, "dagohoy/depot-ledger/ledger-1");
   ck_assert (database->leaving);
   ck_assert_int_eq (database->connect_cost_ms, 10);
@@ -93,7 +93,7 @@
 UNIT_TEST (test_undeclared_kind_gets_the_strictest_rules)
 {
   ck_assert (apply ("dagohoy", good));
-  const struct view_service *service = view_services (view);
+  const struct view_service *service = view_first_service (view);
   const struct view_kind *count = view_kind (service, "count");
   ck_assert_int_eq (count->max_age_ms, 2000);
   ck_assert (!count->write && count->repeatable);
@@ -187,9 +187,9 @@
   ck_assert (apply ("dagohoy", good));
   ck_assert (apply ("ardhi", "{}"));
   ck_assert_ptr_null (view_service (view, "ardhi/depot-ledger"));
-  ck_assert_uint_eq (HASH_COUNT (view_databases (view)), 2);
+  ck_assert_uint_eq (HASH_COUNT (view_first_database (view)), 2);
   view_remove (view, "dagohoy");
-  ck_assert_ptr_null (view_databases (view));
+  ck_assert_ptr_null (view_first_database (view));
 }
 
 UNIT_TEST (test_secret_is_verified_against_its_hash)
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -4,7 +4,7 @@
 
 #include "kernel/mem.h"
 #include "kernel/rng.h"
-#include "platform/entries.h"
+#include "platform/catalog_loader.h"
 #include "platform/store_codec.h"
 #include "platform/wire.h"
 #include "unit.h"
@@ -152,17 +152,17 @@
   evbuffer_free (out);
 }
 
-static struct kv_answer
+static struct kv_response
 store_answer (enum platform_call_kind kind, int code, const char *body)
 {
-  struct kv_answer answer;
+  struct kv_response answer;
   store_codec.parse (&answer, kind, code, NULL, body, strlen (body));
   return answer;
 }
 
 UNIT_PLAIN (test_a_watch_tells_changes_and_removals)
 {
-  struct kv_answer answer = store_answer (
+  struct kv_response answer = store_answer (
       PLATFORM_WATCH, 200,
       "{\"events\":[{\"key\":\"my/leader\",\"value\":\"bm9kZS0x\","
       "\"revision\":412,\"created\":400,\"lease\":7},"
@@ -173,7 +173,7 @@
   ck_assert_str_eq (answer.items[0].value, "node-1");
   ck_assert_uint_eq (answer.items[0].created, 400);
   ck_assert (answer.items[1].removed);
-  kv_answer_clear (&answer);
+  kv_response_clear (&answer);
   answer = store_answer (PLATFORM_WATCH, 410, "{}");
   ck_assert_int_eq (answer.reply.status, PLATFORM_COMPACTED);
 }
@@ -227,7 +227,7 @@
                                 .value = (char *)value,
                                 .value_bytes = strlen (value),
                                 .index = 7 };
-  return entries_parse_instance (entry, &item);
+  return catalog_loader_parse_instance (entry, &item);
 }
 
 UNIT_PLAIN (test_entries_of_other_writers_name_no_instance)
@@ -275,7 +275,7 @@
   struct platform_item item = { .key = "op/config",
                                 .value = (char *)config,
                                 .value_bytes = strlen (config) };
-  ck_assert (entries_parse_config (&out, &item));
+  ck_assert (catalog_loader_parse_config (&out, &item));
   ck_assert_uint_eq (out.version, 7);
   ck_assert_uint_eq (out.route_count, 1);
   ck_assert_int_eq (out.routes[0].kind, ROUTE_SESSION);
@@ -325,7 +325,7 @@
   for (int i = 0; i < MUTATIONS; i++)
     {
       struct answer answer = { 0 };
-      struct kv_answer reply;
+      struct kv_response reply;
       struct catalog_config parsed;
       struct instance_entry entry;
       size_t length = mutate (&rng, messages[i % 8], out, sizeof out);
@@ -336,13 +336,13 @@
       enum platform_call_kind kind
           = (enum platform_call_kind)rng_below (&rng, PLATFORM_WATCH + 1);
       store_codec.parse (&reply, kind, 200, NULL, out, length);
-      kv_answer_clear (&reply);
+      kv_response_clear (&reply);
       length = mutate (&rng, config, out, sizeof out);
       struct platform_item item
           = { .key = "servers/i-1", .value = out, .value_bytes = length };
-      if (entries_parse_config (&parsed, &item))
+      if (catalog_loader_parse_config (&parsed, &item))
         catalog_config_clear (&parsed);
-      entries_parse_instance (&entry, &item);
+      catalog_loader_parse_instance (&entry, &item);
     }
 }
 
