--- a/src/port/pg.c
+++ b/src/port/pg.c
@@ -6,6 +6,7 @@
 #include "kernel/mem.h"
 #include "port/pg_conn.h"
 
+/* Defaults of the options.  */
 #define CONNECT_TIMEOUT_MS 5000
 #define ROLE_TIMEOUT_MS 5000
 
--- a/src/port/pg_batch.c
+++ b/src/port/pg_batch.c
@@ -27,7 +27,7 @@
 }
 
 static void
-note_message (struct pg_conn *conn, enum pg_query query, bool prepare)
+append_message (struct pg_conn *conn, enum pg_query query, bool prepare)
 {
   struct pg_batch *batch = &conn->batch;
   batch->messages[batch->count++]
@@ -38,7 +38,7 @@
 pg_batch_add_once (struct pg_conn *conn, enum pg_query query, const char *sql,
                    size_t param_count, const char *const *params)
 {
-  note_message (conn, query, false);
+  append_message (conn, query, false);
   PQsendQueryParams (conn->pg, sql, (int)param_count, NULL, params, NULL, NULL,
                      0);
 }
@@ -51,10 +51,10 @@
   snprintf (name, sizeof name, "savoryway_%d", (int)query);
   if ((conn->prepared & 1U << query) == 0)
     {
-      note_message (conn, query, true);
+      append_message (conn, query, true);
       PQsendPrepare (conn->pg, name, sql, (int)param_count, NULL);
     }
-  note_message (conn, query, false);
+  append_message (conn, query, false);
   PQsendQueryPrepared (conn->pg, name, (int)param_count, params, NULL, NULL,
                        0);
 }
@@ -66,6 +66,8 @@
   conn->batch.syncs++;
 }
 
+/* Single-row mode must be requested before the first result of the
+   statement.  */
 static void
 set_row_mode (struct pg_conn *conn)
 {
@@ -95,7 +97,7 @@
 }
 
 static void
-take_status (struct pg_conn *conn, const PGresult *res)
+store_status (struct pg_conn *conn, const PGresult *res)
 {
   if (PQntuples (res) != 1 || PQnfields (res) < 8)
     return;
@@ -112,7 +114,7 @@
 }
 
 static void
-take_found (struct pg_conn *conn, const PGresult *res)
+store_answer (struct pg_conn *conn, const PGresult *res)
 {
   conn->found = PQntuples (res) == 1;
   if (!conn->found)
@@ -126,7 +128,7 @@
 }
 
 static void
-take_error (struct pg_conn *conn, enum pg_query query, const PGresult *res)
+store_error (struct pg_conn *conn, enum pg_query query, const PGresult *res)
 {
   struct pg_batch *batch = &conn->batch;
   const char *sqlstate = PQresultErrorField (res, PG_DIAG_SQLSTATE);
@@ -143,19 +145,19 @@
 }
 
 static void
-take_rows (struct pg_conn *conn, enum pg_query query, const PGresult *res)
+store_rows (struct pg_conn *conn, enum pg_query query, const PGresult *res)
 {
   if (query == PG_STATUS)
-    take_status (conn, res);
+    store_status (conn, res);
   else if (query == PG_STATEMENT)
     pg_result_add (&conn->result, res);
   else if (query == PG_FIND)
-    take_found (conn, res);
+    store_answer (conn, res);
   else
-    pg_role_take (conn, query, res);
+    pg_role_store_rows (conn, query, res);
 }
 
-/* COMMIT of a failed transaction succeeds with the tag ROLLBACK.  */
+/* COMMIT of a failed transaction succeeds with the command tag ROLLBACK.  */
 static bool
 is_rolled_back_commit (enum pg_query query, PGresult *res)
 {
@@ -163,7 +165,7 @@
 }
 
 static void
-take_result (struct pg_conn *conn, PGresult *res)
+handle_result (struct pg_conn *conn, PGresult *res)
 {
   struct pg_batch *batch = &conn->batch;
   ExecStatusType status = PQresultStatus (res);
@@ -179,7 +181,7 @@
   if (status != PGRES_COMMAND_OK && status != PGRES_TUPLES_OK
       && status != PGRES_SINGLE_TUPLE)
     {
-      take_error (conn, query, res);
+      store_error (conn, query, res);
       return;
     }
   if (message->prepare)
@@ -187,7 +189,7 @@
       conn->prepared |= 1U << query;
       return;
     }
-  take_rows (conn, query, res);
+  store_rows (conn, query, res);
   if (query == PG_RESET)
     conn->prepared = 0;
   if (status != PGRES_SINGLE_TUPLE)
@@ -196,7 +198,7 @@
 }
 
 bool
-pg_batch_take (struct pg_conn *conn)
+pg_batch_read (struct pg_conn *conn)
 {
   struct pg_batch *batch = &conn->batch;
   while (batch->syncs > 0 && !PQisBusy (conn->pg))
@@ -204,7 +206,7 @@
       PGresult *res = PQgetResult (conn->pg);
       if (res != NULL)
         {
-          take_result (conn, res);
+          handle_result (conn, res);
           PQclear (res);
           continue;
         }
--- a/src/port/pg_conn.c
+++ b/src/port/pg_conn.c
@@ -7,15 +7,15 @@
 
 #include "kernel/mem.h"
 
-/* Row data read and dropped of a result that is too large, before the
-   connection is closed instead.  */
+/* Row data of a too large result that is read and discarded; beyond it the
+   connection is closed.  */
 #define DROPPED_LIMIT_BYTES (1U << 20)
 
-/* A connection keeps the memory of results up to this size.  */
+/* A connection keeps a result buffer of up to this size for its next job.  */
 #define KEPT_RESULT_BYTES (64U << 10)
 
-/* A silent server is given up after 5 + 3 * 2 seconds, or when what was sent
-   has not been acknowledged for 10 seconds.  */
+/* The connection to an unresponsive server fails after 5 + 3 * 2 seconds of
+   keep-alive, or when sent data has not been acknowledged for 10 seconds.  */
 #define KEEPALIVE_IDLE_S "5"
 #define KEEPALIVE_INTERVAL_S "2"
 #define KEEPALIVE_COUNT "3"
@@ -46,8 +46,8 @@
   (void)message;
 }
 
-/* Life of a connection.  It may be closed by its user from within any of
-   the events; its memory stays until the outermost handler has left.  */
+/* Lifetime of a connection.  Its user may close it from within any event
+   callback; it is freed when the outermost event handler returns.  */
 
 static void
 job_clear (struct pg_conn *conn)
@@ -72,7 +72,7 @@
 }
 
 static void
-event_drop (struct event **event)
+event_clear (struct event **event)
 {
   if (*event != NULL)
     event_free (*event);
@@ -86,9 +86,9 @@
     return;
   conn->dead = true;
   conn->running = false;
-  event_drop (&conn->readable);
-  event_drop (&conn->writable);
-  event_drop (&conn->timer);
+  event_clear (&conn->readable);
+  event_clear (&conn->writable);
+  event_clear (&conn->timer);
   PQfinish (conn->pg);
   conn->pg = NULL;
   if (conn->prev != NULL)
@@ -127,7 +127,8 @@
     .message = conn->batch.message,
     .broken = conn->broken,
   };
-  /* The user may submit the next job from within the event.  */
+  /* The user may submit the next job from within the callback, so the state of
+     this job is detached first.  */
   char *message = conn->batch.message;
   char sqlstate[PG_SQLSTATE_BYTES];
   memcpy (sqlstate, conn->batch.sqlstate, sizeof sqlstate);
@@ -145,7 +146,7 @@
     pg_result_free (&body);
 }
 
-/* A write whose COMMIT was not sent has certainly been rolled back.  */
+/* The server rolls back a write whose COMMIT was not sent.  */
 static enum db_status
 status_when_broken (const struct pg_conn *conn)
 {
@@ -176,7 +177,7 @@
   free (copy);
 }
 
-/* Opening.  */
+/* Opening a connection.  */
 
 static struct timeval
 span (clk_ms ms)
@@ -185,9 +186,9 @@
 }
 
 static bool
-watch_socket (struct pg_conn *conn, event_callback_fn fn, short what)
+add_socket_event (struct pg_conn *conn, event_callback_fn fn, short what)
 {
-  event_drop (&conn->readable);
+  event_clear (&conn->readable);
   conn->readable
       = event_new (conn->port->events, PQsocket (conn->pg), what, fn, conn);
   return conn->readable != NULL && event_add (conn->readable, NULL) == 0;
@@ -196,11 +197,11 @@
 static void
 opened (struct pg_conn *conn)
 {
-  event_drop (&conn->readable);
+  event_clear (&conn->readable);
   evtimer_del (conn->timer);
   if (PQsetnonblocking (conn->pg, 1) != 0
       || PQenterPipelineMode (conn->pg) != 1
-      || !watch_socket (conn, on_readable, EV_READ | EV_PERSIST))
+      || !add_socket_event (conn, on_readable, EV_READ | EV_PERSIST))
     {
       pg_conn_break (conn, PQerrorMessage (conn->pg));
       return;
@@ -217,15 +218,15 @@
   (void)fd;
   (void)what;
   struct pg_conn *conn = arg;
-  bool watched = true;
+  bool added = true;
   enter (conn);
   switch (PQconnectPoll (conn->pg))
     {
     case PGRES_POLLING_READING:
-      watched = watch_socket (conn, on_connect, EV_READ);
+      added = add_socket_event (conn, on_connect, EV_READ);
       break;
     case PGRES_POLLING_WRITING:
-      watched = watch_socket (conn, on_connect, EV_WRITE);
+      added = add_socket_event (conn, on_connect, EV_WRITE);
       break;
     case PGRES_POLLING_OK:
       opened (conn);
@@ -234,13 +235,13 @@
       pg_conn_break (conn, PQerrorMessage (conn->pg));
       break;
     }
-  if (!watched)
+  if (!added)
     pg_conn_break (conn, "socket can't be watched");
   leave (conn);
 }
 
-/* The timer serves the connect timeout, a failure found while an operation
-   ran, and the pauses of pg_conn_wait.  */
+/* Runs on the connect timeout, on a failure detected within an operation of
+   the port, and at the end of the delay of pg_conn_wait.  */
 static void
 on_timer (evutil_socket_t fd, short what, void *arg)
 {
@@ -315,7 +316,7 @@
   if (conn->pg != NULL)
     PQsetNoticeProcessor (conn->pg, ignore_notice, NULL);
   if (PQstatus (conn->pg) == CONNECTION_BAD
-      || !watch_socket (conn, on_connect, EV_WRITE))
+      || !add_socket_event (conn, on_connect, EV_WRITE))
     event_active (conn->timer, EV_TIMEOUT, 0);
   return conn;
 }
@@ -345,9 +346,9 @@
 {
   bool alive = PQconsumeInput (conn->pg) == 1;
   bool answered
-      = conn->running && conn->batch.syncs > 0 && pg_batch_take (conn);
+      = conn->running && conn->batch.syncs > 0 && pg_batch_read (conn);
   if (!conn->running)
-    PQisBusy (conn->pg); /* drops what nobody asked for */
+    PQisBusy (conn->pg); /* parses and drops unsolicited messages */
   if (answered)
     {
       conn->batch.next (conn);
--- a/src/port/pg_conn.h
+++ b/src/port/pg_conn.h
@@ -1,8 +1,10 @@
-/* pg_conn - one connection to a PostgreSQL instance, and batches on it.
+/* pg_conn - a connection to a PostgreSQL instance, and the batches of queries
+   on it.  Private to pg*.c.
 
-   A batch is a list of queries sent in one go by pipeline mode, in groups
-   that each end with a Sync.  An error skips the rest of its group only.
-   When the whole batch is answered, its owner's next step is called.  */
+   A batch is a list of queries that are sent together in pipeline mode, in
+   groups that each end with a Sync message.  An error skips the rest of its
+   own group only.  The next step of the job is called when the results of the
+   whole batch have been received.  */
 
 #ifndef SAVORYWAY_PORT_PG_CONN_H
 #define SAVORYWAY_PORT_PG_CONN_H
@@ -14,10 +16,12 @@
 #include "port/pg.h"
 #include "port/pg_result.h"
 
+/* Limit on the messages of a batch, without Syncs.  */
 #define PG_BATCH_LIMIT 16
 #define PG_SQLSTATE_BYTES 6
 
-/* The queries of batches; a batch holds each at most once.  */
+/* The queries of batches; a batch contains each at most once.  For their SQL
+   see pg_sql.h.  */
 enum pg_query
 {
   PG_STATUS,
@@ -26,7 +30,7 @@
   PG_REQUIRE_TERM,
   PG_RUN_LIMIT,
   PG_CLAIM,
-  PG_STATEMENT, /* the job's own */
+  PG_STATEMENT, /* the statement of the job */
   PG_ANSWER,
   PG_COMMIT,
   PG_ROLLBACK,
@@ -45,53 +49,57 @@
   PG_QUERY_COUNT
 };
 
+/* Result of a query of a batch.  */
 enum pg_state
 {
-  PG_SKIPPED, /* not sent, or skipped after an error before it */
+  PG_SKIPPED, /* not sent, or skipped after an earlier error */
   PG_DONE,
   PG_FAILED
 };
 
 struct pg_conn;
+
+/* A step of a job, called when a batch is complete or a delay is over.  */
 typedef void (*pg_step) (struct pg_conn *conn);
 
 struct pg_message
 {
   enum pg_query query;
-  bool prepare; /* prepares the query; the next message runs it */
+  bool prepare; /* prepares the query; the next message executes it */
 };
 
 struct pg_batch
 {
   struct pg_message messages[PG_BATCH_LIMIT];
   size_t count, current;
-  size_t syncs; /* outstanding */
+  size_t syncs; /* not answered yet */
   enum pg_state states[PG_QUERY_COUNT];
   pg_step next;
-  /* The first error of the batch.  */
+  /* First error of the batch.  */
   bool failed;
   enum pg_query failed_query;
   char sqlstate[PG_SQLSTATE_BYTES];
   char *message;
 };
 
-/* Where a change of the instance's role stands; see pg_role.c.  */
+/* State of a change of the instance's role; see pg_role.c.  */
 struct pg_role
 {
   bool recovery;     /* the instance is a replica */
-  uint64_t sessions; /* that may not have seen the last reload */
-  bool stream;       /* a stream from a primary exists */
+  uint64_t sessions; /* number that may not have applied the last reload */
+  bool stream;       /* a replication stream from a primary exists */
   char stream_address[ADDRESS_BYTES];
   uint16_t stream_port;
-  size_t set_count;
-  char *sets[4]; /* ALTER SYSTEM statements to run */
-  bool asked, rejoined;
+  size_t setting_count;
+  char *settings[4]; /* ALTER SYSTEM statements to run */
+  bool requested;    /* promotion, or the final settings of DB_FOLLOW, sent */
+  bool rejoined;     /* rejoin has been called */
   clk_ms deadline_ms;
   clk_ms rejoin_at_ms;
-  enum db_status status; /* once the lock is given back */
+  enum db_status status; /* result, reported after the lock is released */
 };
 
-/* Public as struct db_conn to the users of the port.  */
+/* Users of the port see it as struct db_conn.  */
 struct pg_conn
 {
   struct pg_port *port;
@@ -101,17 +109,18 @@
   PGconn *pg;
   struct event *readable, *writable;
   struct event *timer; /* connect timeout, polling, deferred failure */
-  bool open, dead;
-  bool broken;       /* closed follows; jobs submitted now are lost */
+  bool open;
+  bool dead;         /* closed; freed when the last handler returns */
+  bool broken;       /* failed; jobs submitted now get DB_LOST */
   uint32_t entered;  /* event handlers running on this connection */
-  uint32_t prepared; /* a bit for each query that the server has prepared */
+  uint32_t prepared; /* bit set of the queries that the server has prepared */
   struct pg_batch batch;
   struct pg_result result;
-  /* The job, copied.  */
+  /* The running job, copied.  */
   bool running;
   struct db_job job;
   bool commit_sent;
-  enum db_status abort_status; /* once the rollback is done */
+  enum db_status abort_status; /* result, reported after the rollback */
   bool found; /* PG_FIND returned a row; its answer is in result */
   struct db_report report;
   struct pg_role role;
@@ -130,51 +139,62 @@
                               const struct db_conn_events *events, void *arg);
 void pg_conn_close (struct pg_conn *conn);
 
-/* Starts a batch that calls NEXT when it is answered.  */
+/* Starts a batch that calls NEXT when it is complete.  */
 void pg_batch_start (struct pg_conn *conn, pg_step next);
-/* As pg_batch_start, but keeps the last batch's error for the job's
-   result.  */
+
+/* Like pg_batch_start, but keeps the error of the previous batch for the
+   result of the job.  */
 void pg_batch_restart (struct pg_conn *conn, pg_step next);
-/* Adds a query of the proxy's own; SQL is constant for QUERY.  The server
-   prepares it at its first use on a connection.  PARAMS are copied.  */
+
+/* Adds a query whose SQL is the same at each use of QUERY.  It is prepared at
+   its first use on a connection.  PARAMS are copied.  */
 void pg_batch_add (struct pg_conn *conn, enum pg_query query, const char *sql,
                    size_t param_count, const char *const *params);
+
 /* Adds a query whose text varies, without preparing it.  */
 void pg_batch_add_once (struct pg_conn *conn, enum pg_query query,
                         const char *sql, size_t param_count,
                         const char *const *params);
+
 /* Ends a group of queries.  */
 void pg_batch_sync (struct pg_conn *conn);
-/* Sends what was added.  */
+
+/* Sends the queries added to the batch.  */
 void pg_batch_send (struct pg_conn *conn);
-/* Takes results until the batch is answered (true) or more input is needed
-   (false).  */
-bool pg_batch_take (struct pg_conn *conn);
 
-/* Sends what libpq holds, and goes on when the socket can take more.  */
+/* Reads the results that have been received.  Returns true if the batch is
+   complete, false if more input is needed.  */
+bool pg_batch_read (struct pg_conn *conn);
+
+/* Sends libpq's output buffer, and the rest when the socket becomes
+   writable.  */
 void pg_conn_flush (struct pg_conn *conn);
 
-/* Calls STEP after DELAY_MS instead of a batch.  */
+/* Calls STEP after DELAY_MS.  No batch may be in flight.  */
 void pg_conn_wait (struct pg_conn *conn, clk_ms delay_ms, pg_step step);
 
-/* Gives the job's result to the user of the port.  PAYLOAD may be NULL.  */
+/* Ends the job and reports its result.  PAYLOAD may be NULL.  */
 void pg_conn_finish (struct pg_conn *conn, enum db_status status,
                      const char *payload, size_t payload_bytes);
 
-/* Reports the connection as broken: the job's result, then closed.  */
+/* Handles a failed connection: reports the result of the running job, then
+   the closed event, and closes the connection.  */
 void pg_conn_break (struct pg_conn *conn, const char *why);
 
+/* Returns the time since boot.  */
 clk_ms pg_now (void);
 
-/* pg_job.c and pg_role.c: start the job that conn->job holds.  */
+/* Start the job in conn->job; pg_role_start does so for changes of role.  */
 void pg_job_start (struct pg_conn *conn);
 void pg_role_start (struct pg_conn *conn);
-/* Takes the rows of pg_role's queries.  */
-void pg_role_take (struct pg_conn *conn, enum pg_query query,
-                   const PGresult *res);
+
+/* Stores the result of a query of pg_role.c.  */
+void pg_role_store_rows (struct pg_conn *conn, enum pg_query query,
+                         const PGresult *res);
+
 void pg_role_clear (struct pg_conn *conn);
 
-/* Adds PG_STATUS in a group of its own.  */
+/* Adds the status query and ends the group.  */
 void pg_batch_status (struct pg_conn *conn);
 
 #endif
--- a/src/port/pg_job.c
+++ b/src/port/pg_job.c
@@ -10,7 +10,7 @@
 
 #define NUMBER_BYTES 24
 
-/* Stored as the answer of a transaction's COMMIT.  */
+/* Stored in the ledger as the answer of a transaction's COMMIT.  */
 #define EMPTY_ANSWER "{\"columns\":[],\"rows\":[],\"affected\":0}"
 
 static void
@@ -69,7 +69,7 @@
 }
 
 static bool
-failed_as (const struct pg_conn *conn, const char *sqlstate)
+failed_with (const struct pg_conn *conn, const char *sqlstate)
 {
   return strcmp (conn->batch.sqlstate, sqlstate) == 0;
 }
@@ -86,8 +86,7 @@
   pg_conn_finish (conn, status, conn->result.text, conn->result.length);
 }
 
-/* Ends the job by STATUS if the statement and the instance's status are
-   there, else by what went wrong.  */
+/* Reports the rows of the statement, or its failure.  */
 static void
 finish_statement (struct pg_conn *conn)
 {
@@ -113,13 +112,14 @@
   pg_batch_send (conn);
 }
 
-/* DB_READ.  The position is checked before the statement's snapshot is
-   taken, and reported after it, so that the report covers what was seen.  */
+/* DB_READ.  The required position is checked before the statement takes its
+   snapshot and the position is queried after it, so that the reported position
+   covers all rows that the statement saw.  */
 
 static void
 after_read (struct pg_conn *conn)
 {
-  if (failed_as (conn, PG_STATE_BEHIND))
+  if (failed_with (conn, PG_STATE_BEHIND))
     finish (conn, DB_REFUSED);
   else
     finish_statement (conn);
@@ -136,15 +136,15 @@
   pg_batch_send (conn);
 }
 
-/* Failure before COMMIT: the transaction is rolled back, and a duplicate's
-   stored answer is looked up in the same round trip.  */
+/* Failure before COMMIT.  The transaction is rolled back; if the request id is
+   a duplicate, the stored answer is read in the same round trip.  */
 
 static enum db_status
 status_of_failure (const struct pg_conn *conn)
 {
   const struct pg_batch *batch = &conn->batch;
   if (batch->failed_query == PG_REQUIRE_TERM || batch->failed_query == PG_CLAIM
-      || batch->failed_query == PG_PROBE || failed_as (conn, "25006"))
+      || batch->failed_query == PG_PROBE || failed_with (conn, "25006"))
     return DB_REFUSED;
   return DB_SQL_ERROR;
 }
@@ -162,7 +162,7 @@
 abort_job (struct pg_conn *conn, enum db_status status)
 {
   bool duplicate = conn->batch.failed_query == PG_CLAIM && conn->batch.failed
-                   && failed_as (conn, "23505");
+                   && failed_with (conn, "23505");
   conn->abort_status = status;
   conn->commit_sent = duplicate;
   pg_batch_restart (conn, after_abort);
@@ -203,9 +203,10 @@
   pg_batch_send (conn);
 }
 
-/* A write of the ledger row alone, which keeps the request from running.  */
+/* Returns whether the job writes only the ledger row, which prevents the
+   request from running later.  */
 static bool
-lacks_statement (const struct pg_conn *conn)
+is_ledger_only (const struct pg_conn *conn)
 {
   return conn->job.statement == NULL || *conn->job.statement == '\0';
 }
@@ -214,7 +215,7 @@
 send_write_commit (struct pg_conn *conn)
 {
   pg_batch_start (conn, after_commit);
-  if (conn->job.request_id != NULL && !lacks_statement (conn))
+  if (conn->job.request_id != NULL && !is_ledger_only (conn))
     add_answer (conn, PG_ANSWER, PG_SQL_ANSWER, conn->result.text);
   send_commit (conn);
 }
@@ -238,7 +239,7 @@
 static void
 start_write (struct pg_conn *conn)
 {
-  bool empty = lacks_statement (conn);
+  bool empty = is_ledger_only (conn);
   pg_batch_start (conn, after_write);
   add (conn, PG_BEGIN, PG_SQL_BEGIN);
   add_number (conn, PG_REQUIRE_TERM, PG_SQL_REQUIRE_TERM, conn->job.term);
@@ -295,8 +296,9 @@
   send_commit (conn);
 }
 
-/* With a request id the claim is answered before COMMIT is sent, so that a
-   later lookup finds the row of any transaction that may yet commit.  */
+/* With a request id, COMMIT is sent only after the ledger row has been
+   inserted, so that a later lookup finds the row of any transaction that may
+   still commit.  */
 static void
 start_commit (struct pg_conn *conn)
 {
@@ -320,13 +322,13 @@
   add (conn, PG_ROLLBACK, PG_SQL_ROLLBACK);
   pg_batch_sync (conn);
   pg_batch_add_once (conn, PG_RESET, PG_SQL_RESET, 0, NULL);
-  conn->prepared = 0; /* what follows is prepared anew */
+  conn->prepared = 0; /* DISCARD ALL drops prepared statements */
   pg_batch_sync (conn);
   pg_batch_status (conn);
   pg_batch_send (conn);
 }
 
-/* Ledger.  */
+/* DB_LOOKUP and DB_PURGE.  */
 
 static void
 after_lookup (struct pg_conn *conn)
@@ -363,8 +365,8 @@
   pg_batch_send (conn);
 }
 
-/* Statements that would end or open a transaction, or change the session
-   for its next user.  */
+/* Statements that are not allowed, since they would begin or end a transaction
+   or change the state of the session for its next user.  */
 
 static const char *
 skip_blanks_and_comments (const char *sql)
--- a/src/port/pg_result.c
+++ b/src/port/pg_result.c
@@ -6,7 +6,7 @@
 
 #include "kernel/mem.h"
 
-/* Object ids of PostgreSQL's built-in types.  */
+/* Object identifiers of PostgreSQL's built-in types.  */
 enum
 {
   TYPE_BOOL = 16,
@@ -19,7 +19,7 @@
   TYPE_NUMERIC = 1700
 };
 
-#define FIRST_CAPACITY 256
+#define INITIAL_CAPACITY_BYTES 256
 
 static void
 reserve (struct pg_result *result, size_t bytes)
@@ -27,7 +27,8 @@
   size_t need = result->length + bytes + 1;
   if (need <= result->capacity)
     return;
-  size_t capacity = result->capacity == 0 ? FIRST_CAPACITY : result->capacity;
+  size_t capacity
+      = result->capacity == 0 ? INITIAL_CAPACITY_BYTES : result->capacity;
   while (capacity < need)
     capacity *= 2;
   result->text = mem_resize (result->text, capacity);
@@ -78,7 +79,8 @@
   return strspn (text, "0123456789");
 }
 
-/* Whether TEXT is a number in JSON's grammar; "NaN" or "007" is not.  */
+/* Returns whether TEXT is a number in JSON's grammar; "NaN" and "007" are
+   not.  */
 static bool
 is_json_number (const char *text)
 {
--- a/src/port/pg_role.c
+++ b/src/port/pg_role.c
@@ -1,6 +1,6 @@
-/* Changes of an instance's role.  Each holds the instance's advisory lock,
-   changes settings by ALTER SYSTEM, and polls until they are in force, so
-   that the position it reports is that of an instance at rest.  */
+/* Changes of an instance's role.  Each change takes the instance's advisory
+   lock, changes settings with ALTER SYSTEM, and polls until they are in
+   effect.  The position that a seal or fence reports is therefore final.  */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 #include "port/pg_conn.h"
 #include "port/pg_sql.h"
 
-#define POLL_MS 5
+#define POLL_INTERVAL_MS 5
 #define NUMBER_BYTES 24
 
 static void role_poll (struct pg_conn *conn);
@@ -23,7 +23,8 @@
 }
 
 void
-pg_role_take (struct pg_conn *conn, enum pg_query query, const PGresult *res)
+pg_role_store_rows (struct pg_conn *conn, enum pg_query query,
+                    const PGresult *res)
 {
   struct pg_role *role = &conn->role;
   if (query != PG_BUSY || PQntuples (res) != 1 || PQnfields (res) < 5)
@@ -37,21 +38,21 @@
 }
 
 static void
-sets_clear (struct pg_role *role)
+settings_clear (struct pg_role *role)
 {
-  for (size_t i = 0; i < role->set_count; i++)
-    free (role->sets[i]);
-  role->set_count = 0;
+  for (size_t i = 0; i < role->setting_count; i++)
+    free (role->settings[i]);
+  role->setting_count = 0;
 }
 
 void
 pg_role_clear (struct pg_conn *conn)
 {
-  sets_clear (&conn->role);
+  settings_clear (&conn->role);
   memset (&conn->role, 0, sizeof conn->role);
 }
 
-/* End of the job: the lock is given back first.  */
+/* End of the job; the lock is released first.  */
 
 static void
 after_unlock (struct pg_conn *conn)
@@ -79,27 +80,30 @@
 /* Settings.  */
 
 static void
-set (struct pg_conn *conn, const char *name, const char *value)
+add_setting (struct pg_conn *conn, const char *name, const char *value)
 {
   struct pg_role *role = &conn->role;
   char *literal = PQescapeLiteral (conn->pg, value, strlen (value));
   if (literal == NULL)
     return;
-  role->sets[role->set_count++] = mem_printf (PG_SQL_SET, name, literal);
+  role->settings[role->setting_count++]
+      = mem_printf (PG_SQL_SET, name, literal);
   PQfreemem (literal);
 }
 
 static void
-set_number (struct pg_conn *conn, const char *name, uint64_t value)
+add_number_setting (struct pg_conn *conn, const char *name, uint64_t value)
 {
   char text[NUMBER_BYTES];
   snprintf (text, sizeof text, "%llu", (unsigned long long)value);
-  set (conn, name, text);
+  add_setting (conn, name, text);
 }
 
-/* TERM is that which the replica's confirmations count for; 0 for none.  */
+/* Sets the replication connection to the primary.  The replica's
+   confirmations count for TERM, which is part of its application name; 0 for
+   none.  */
 static void
-set_stream (struct pg_conn *conn, uint64_t term)
+add_stream_setting (struct pg_conn *conn, uint64_t term)
 {
   const struct pg_options *options = &conn->port->options;
   const char *user = options->replication_user != NULL
@@ -110,7 +114,7 @@
                            conn->job.follow_address, conn->job.follow_port,
                            user == NULL ? "savoryway" : user,
                            (unsigned long long)term);
-  set (conn, "primary_conninfo", text);
+  add_setting (conn, "primary_conninfo", text);
   free (text);
 }
 
@@ -121,7 +125,7 @@
 }
 
 static void
-after_sets (struct pg_conn *conn)
+after_settings (struct pg_conn *conn)
 {
   if (conn->batch.failed)
     {
@@ -134,23 +138,25 @@
 }
 
 static void
-apply_sets (struct pg_conn *conn)
+apply_settings (struct pg_conn *conn)
 {
   struct pg_role *role = &conn->role;
-  pg_batch_start (conn, after_sets);
-  for (size_t i = 0; i < role->set_count; i++)
+  pg_batch_start (conn, after_settings);
+  for (size_t i = 0; i < role->setting_count; i++)
     {
-      pg_batch_add_once (conn, PG_SET, role->sets[i], 0, NULL);
+      pg_batch_add_once (conn, PG_SET, role->settings[i], 0, NULL);
       pg_batch_sync (conn);
     }
-  sets_clear (role);
+  settings_clear (role);
   pg_batch_send (conn);
 }
 
 /* DB_SEAL and DB_FENCE.  */
 
+/* Returns whether no write and no replication stream can advance the position
+   of the instance any more.  */
 static bool
-is_at_rest (const struct pg_conn *conn)
+is_quiescent (const struct pg_conn *conn)
 {
   const struct pg_role *role = &conn->role;
   return !conn->report.primary && !role->stream
@@ -163,7 +169,7 @@
   const struct db_report *report = &conn->report;
   uint64_t term = conn->job.term;
   bool fence = conn->job.kind == DB_FENCE;
-  bool sealed = report->sealed_term >= term && is_at_rest (conn);
+  bool sealed = report->sealed_term >= term && is_quiescent (conn);
   bool replica = fence && conn->role.recovery;
   bool later = report->term >= term || (!fence && report->sealed_term > term);
   if (!replica && later)
@@ -177,16 +183,16 @@
       return;
     }
   if (report->sealed_term < term)
-    set_number (conn, "savoryway.sealed_term", term);
-  set (conn, "default_transaction_read_only", "on");
-  set (conn, "primary_conninfo", "");
-  apply_sets (conn);
+    add_number_setting (conn, "savoryway.sealed_term", term);
+  add_setting (conn, "default_transaction_read_only", "on");
+  add_setting (conn, "primary_conninfo", "");
+  apply_settings (conn);
 }
 
 static bool
 seal_is_done (const struct pg_conn *conn)
 {
-  return conn->report.sealed_term >= conn->job.term && is_at_rest (conn);
+  return conn->report.sealed_term >= conn->job.term && is_quiescent (conn);
 }
 
 /* DB_PROMOTE.  */
@@ -206,9 +212,9 @@
       role_refuse (conn, "the instance is not sealed for this term");
       return;
     }
-  set_number (conn, "savoryway.log_term", term);
-  set (conn, "default_transaction_read_only", "off");
-  apply_sets (conn);
+  add_number_setting (conn, "savoryway.log_term", term);
+  add_setting (conn, "default_transaction_read_only", "off");
+  apply_settings (conn);
 }
 
 static bool
@@ -220,22 +226,22 @@
 static bool
 promote_step (struct pg_conn *conn)
 {
-  if (conn->role.asked || !conn->role.recovery
+  if (conn->role.requested || !conn->role.recovery
       || conn->report.term != conn->job.term)
     return false;
-  conn->role.asked = true;
+  conn->role.requested = true;
   pg_batch_start (conn, after_reload);
   add (conn, PG_PROMOTE, PG_SQL_PROMOTE);
   pg_batch_send (conn);
   return true;
 }
 
-/* DB_FOLLOW.  The term of the log is set once the stream is up, and only
-   then do the replica's confirmations count: else a replica could confirm
+/* DB_FOLLOW.  The term of the log is set, and the replica's confirmations
+   count, only once replication is running.  Otherwise a replica could confirm
    log of a term that it does not report when it is sealed.  */
 
 static bool
-streams (const struct pg_conn *conn)
+is_streaming (const struct pg_conn *conn)
 {
   const struct pg_role *role = &conn->role;
   return role->recovery && role->stream && conn->report.receiving
@@ -246,7 +252,7 @@
 static bool
 follow_is_done (const struct pg_conn *conn)
 {
-  return streams (conn) && conn->report.term == conn->job.term;
+  return is_streaming (conn) && conn->report.term == conn->job.term;
 }
 
 static void
@@ -267,9 +273,9 @@
     }
   else
     {
-      set_stream (conn, 0);
-      set (conn, "default_transaction_read_only", "off");
-      apply_sets (conn);
+      add_stream_setting (conn, 0);
+      add_setting (conn, "default_transaction_read_only", "off");
+      apply_settings (conn);
     }
 }
 
@@ -281,7 +287,7 @@
   snprintf (term, sizeof term, "%llu", (unsigned long long)conn->job.term);
   snprintf (port, sizeof port, "%u", conn->job.follow_port);
   conn->role.rejoined = true;
-  pg_batch_start (conn, after_sets);
+  pg_batch_start (conn, after_settings);
   pg_batch_add (conn, PG_REJOIN, PG_SQL_REJOIN, 3, params);
   pg_batch_sync (conn);
   pg_batch_send (conn);
@@ -291,15 +297,15 @@
 follow_step (struct pg_conn *conn)
 {
   struct pg_role *role = &conn->role;
-  if (streams (conn) && !role->asked)
+  if (is_streaming (conn) && !role->requested)
     {
-      role->asked = true;
-      set_number (conn, "savoryway.log_term", conn->job.term);
-      set_stream (conn, conn->job.term);
-      apply_sets (conn);
+      role->requested = true;
+      add_number_setting (conn, "savoryway.log_term", conn->job.term);
+      add_stream_setting (conn, conn->job.term);
+      apply_settings (conn);
       return true;
     }
-  if (!role->rejoined && !role->asked && pg_now () >= role->rejoin_at_ms)
+  if (!role->rejoined && !role->requested && pg_now () >= role->rejoin_at_ms)
     {
       rejoin (conn);
       return true;
@@ -313,7 +319,7 @@
 {
   void (*begin) (struct pg_conn *conn);
   bool (*is_done) (const struct pg_conn *conn);
-  /* Does what has become due; false if nothing.  */
+  /* Starts the next action if one is due; returns false if none is.  */
   bool (*step) (struct pg_conn *conn);
 };
 
@@ -350,16 +356,16 @@
   else if (pg_now () >= conn->role.deadline_ms)
     role_refuse (conn, "the change of role did not finish in time");
   else if (ops->step == NULL || !ops->step (conn))
-    pg_conn_wait (conn, POLL_MS, role_poll);
+    pg_conn_wait (conn, POLL_INTERVAL_MS, role_poll);
 }
 
 static void
 role_poll (struct pg_conn *conn)
 {
-  bool kick = ops_of (conn)->begin == seal_begin && !conn->role.recovery
-              && conn->report.sealed_term >= conn->job.term;
+  bool terminate = ops_of (conn)->begin == seal_begin && !conn->role.recovery
+                   && conn->report.sealed_term >= conn->job.term;
   pg_batch_start (conn, after_poll);
-  if (kick)
+  if (terminate)
     add (conn, PG_KICK, PG_SQL_KICK);
   pg_batch_status (conn);
   add (conn, PG_BUSY, PG_SQL_BUSY);
--- a/src/port/pg_sql.h
+++ b/src/port/pg_sql.h
@@ -1,15 +1,15 @@
-/* pg_sql - every SQL text that the proxy itself sends.
+/* pg_sql - the SQL texts that the proxy itself sends.
 
-   Each is valid for PostgreSQL 15 with the objects of share/savoryway.sql,
-   and starts with a comment that names it in the server's logs.  They have
-   been run against the stand-in of the tests only.  */
+   They are written for PostgreSQL 15 with the objects of share/savoryway.sql.
+   Each starts with a comment that identifies it in the server's logs.  They
+   have been run only against the stand-in server of the tests.  */
 
 #ifndef SAVORYWAY_PORT_PG_SQL_H
 #define SAVORYWAY_PORT_PG_SQL_H
 
 /* SQLSTATEs raised by the functions of share/savoryway.sql.  */
-#define PG_STATE_OTHER_TERM "SVT01"
-#define PG_STATE_BEHIND "SVR01"
+#define PG_STATE_OTHER_TERM "SVT01" /* the instance has another term */
+#define PG_STATE_BEHIND "SVR01"     /* position not replayed yet */
 
 /* One row: term, primary, sealed_term, receiving, received_lsn,
    replayed_lsn, confirmed_lsn, lag_ms.  */
@@ -44,21 +44,21 @@
 #define PG_SQL_ROLLBACK "/*savoryway:rollback*/ ROLLBACK"
 #define PG_SQL_RESET "/*savoryway:reset*/ DISCARD ALL"
 
-/* $1 the required term, 0 for any.  */
+/* $1: the required term, 0 for any.  */
 #define PG_SQL_REQUIRE_TERM                                                   \
   "/*savoryway:require_term*/ SELECT savoryway.require_term($1)"
 
-/* $1 the position that must be visible.  */
+/* $1: the position that must be visible.  */
 #define PG_SQL_BEGIN_READ                                                     \
   "/*savoryway:begin_read*/ SELECT savoryway.begin_read($1)"
 
-/* $1 the limit in milliseconds, for the statements that follow in this
-   transaction.  It frees the server of work that nobody waits for.  */
+/* $1: timeout in milliseconds of the statements that follow in this
+   transaction.  It cancels work whose caller no longer waits for it.  */
 #define PG_SQL_RUN_LIMIT                                                      \
   "/*savoryway:run_limit*/ SELECT set_config('statement_timeout', $1, true)"
 
-/* $1 request id, $2 answer or NULL.  Waits for a running transaction with
-   the same request id.  */
+/* $1: request id, $2: answer or NULL.  Blocks while another transaction with
+   the same request id is running.  */
 #define PG_SQL_CLAIM                                                          \
   "/*savoryway:claim*/ INSERT INTO savoryway.ledger (request_id, answer)"     \
   " VALUES ($1, $2)"
@@ -66,7 +66,8 @@
   "/*savoryway:answer*/ UPDATE savoryway.ledger SET answer = $2"              \
   " WHERE request_id = $1"
 
-/* $1 request id.  Waits as the claim does, without failing.  */
+/* $1: request id.  Blocks like the claim, but does not fail on a
+   duplicate.  */
 #define PG_SQL_PROBE                                                          \
   "/*savoryway:probe*/ INSERT INTO savoryway.ledger (request_id)"             \
   " VALUES ($1) ON CONFLICT DO NOTHING"
@@ -74,30 +75,31 @@
   "/*savoryway:find*/ SELECT answer FROM savoryway.ledger"                    \
   " WHERE request_id = $1 AND answer IS NOT NULL"
 
-/* $1 age in milliseconds.  */
+/* $1: age in milliseconds.  */
 #define PG_SQL_PURGE                                                          \
   "/*savoryway:purge*/ DELETE FROM savoryway.ledger WHERE created"            \
   " < clock_timestamp() - $1::bigint * interval '1 millisecond'"
 
-/* Serialises changes of an instance's role by several hosts.  */
+/* Serializes changes of an instance's role by several hosts.  */
 #define PG_SQL_LOCK "/*savoryway:lock*/ SELECT pg_advisory_lock(7305793)"
 #define PG_SQL_UNLOCK "/*savoryway:unlock*/ SELECT pg_advisory_unlock_all()"
 
-/* printf format: name of the setting and quoted value.  */
+/* printf format; arguments: name of the setting and quoted value.  */
 #define PG_SQL_SET "/*savoryway:set*/ ALTER SYSTEM SET %s = %s"
 #define PG_SQL_RELOAD "/*savoryway:reload*/ SELECT pg_reload_conf()"
 #define PG_SQL_PROMOTE "/*savoryway:promote*/ SELECT pg_promote(false)"
 
-/* Ends the proxy's sessions that may not have seen the last reload.  */
+/* Terminates the proxy's other sessions that may not have applied the last
+   reload.  */
 #define PG_SQL_KICK                                                           \
   "/*savoryway:kick*/ SELECT pg_terminate_backend(pid)"                       \
   " FROM pg_stat_activity WHERE usename = current_user"                       \
   " AND backend_type = 'client backend'"                                      \
   " AND backend_start < pg_conf_load_time() AND pid <> pg_backend_pid()"
 
-/* One row: whether the instance is a replica; the proxy's sessions that may
-   not have seen the last reload; whether a stream from a primary exists; its
-   address and port.  */
+/* One row: whether the instance is a replica; number of the proxy's other
+   sessions that may not have applied the last reload; whether a replication
+   stream from a primary exists; address and port of that primary.  */
 #define PG_SQL_BUSY                                                           \
   "/*savoryway:busy*/ SELECT pg_is_in_recovery(), (SELECT count(*) FROM "     \
   "pg_stat_activity"                                                          \
@@ -106,7 +108,7 @@
   " r.pid IS NOT NULL, r.sender_host, r.sender_port"                          \
   " FROM (SELECT 1) one LEFT JOIN pg_stat_wal_receiver r ON true"
 
-/* $1 term, $2 address, $3 port of the primary to follow.  */
+/* $1: term, $2: address, $3: port of the primary to follow.  */
 #define PG_SQL_REJOIN                                                         \
   "/*savoryway:rejoin*/ SELECT savoryway.rejoin($1, $2, $3)"
 
--- a/src/port/platform_port.h
+++ b/src/port/platform_port.h
@@ -1,8 +1,11 @@
-/* platform_port - the platform's key-value service, as the core sees it.
+/* platform_port - interface to the platform's key-value service.
 
-   Every call is answered by exactly one reply, unless cancelled, and never
-   from within the call.  Each names its purpose, by which calls are
-   counted.  */
+   Each call gets exactly one reply, unless it is cancelled.  The reply is
+   never delivered from within the call.  Calls are counted by their purpose.
+
+   The service stores entries with compare-and-swap on their modification
+   index, offers watches on keys and on the list of hosts, and leases that
+   delete their keys when they end.  */
 
 #ifndef SAVORYWAY_PORT_PLATFORM_PORT_H
 #define SAVORYWAY_PORT_PLATFORM_PORT_H
@@ -16,13 +19,13 @@
 
 enum platform_call_kind
 {
-  PLATFORM_GET,     /* one key; waits for index > wait_index if wait_ms */
-  PLATFORM_LIST,    /* all keys below a prefix, likewise */
-  PLATFORM_WRITE,   /* all writes or none, each compare-and-swap */
-  PLATFORM_HOSTS,   /* the list of hosts; waits likewise */
-  PLATFORM_LEASE,   /* creates a lease of ttl_ms */
-  PLATFORM_RENEW,   /* extends lease */
-  PLATFORM_RELEASE, /* ends lease */
+  PLATFORM_GET,   /* one key; with wait_ms, blocks until index > wait_index */
+  PLATFORM_LIST,  /* all keys below a prefix; blocks likewise */
+  PLATFORM_WRITE, /* one atomic transaction of compare-and-swap writes */
+  PLATFORM_HOSTS, /* the list of hosts; blocks likewise */
+  PLATFORM_LEASE, /* creates a lease that lasts ttl_ms */
+  PLATFORM_RENEW, /* extends a lease */
+  PLATFORM_RELEASE, /* ends a lease */
   PLATFORM_WATCH    /* changes below a prefix after wait_index */
 };
 
@@ -32,19 +35,19 @@
   const char *value;
   size_t value_bytes;
   uint64_t expect_index; /* 0: the key must not exist */
-  const char *lease;     /* key goes when the lease ends; NULL for none */
-  bool erase;
+  const char *lease;     /* deletes the key when it ends; NULL for none */
+  bool erase;            /* deletes the key */
 };
 
 struct platform_call
 {
   enum platform_call_kind kind;
-  const char *purpose;
+  const char *purpose; /* label of the metrics; NULL: "other" */
   const char *key;     /* key or prefix */
   const char *after;   /* PLATFORM_LIST: continues after this key */
-  uint64_t wait_index; /* return once the index is above this */
-  clk_ms wait_ms;      /* at most this long; 0 returns at once */
-  clk_ms timeout_ms;   /* for an answer, beyond wait_ms */
+  uint64_t wait_index; /* a blocking call returns once the index is above */
+  clk_ms wait_ms;      /* limit of blocking; 0 returns at once */
+  clk_ms timeout_ms;   /* of the call, in addition to wait_ms */
   const struct platform_write *writes;
   size_t write_count;
   const char *lease;
@@ -56,10 +59,11 @@
   PLATFORM_OK,
   PLATFORM_CONFLICT,    /* a comparison failed; nothing was written */
   PLATFORM_NOT_FOUND,   /* no such key or lease */
-  PLATFORM_UNAVAILABLE, /* certainly without effect */
-  PLATFORM_LOST,        /* may have taken effect */
-  PLATFORM_REJECTED,    /* malformed or too large; without effect */
-  PLATFORM_COMPACTED    /* PLATFORM_WATCH: that history is forgotten */
+  PLATFORM_UNAVAILABLE, /* the call had no effect */
+  PLATFORM_LOST,        /* no response; may have taken effect */
+  PLATFORM_REJECTED,    /* malformed or too large; no effect */
+  PLATFORM_COMPACTED /* PLATFORM_WATCH: history after wait_index is discarded
+                      */
 };
 
 struct platform_item
@@ -68,8 +72,8 @@
   char *value; /* NUL-terminated besides value_bytes */
   size_t value_bytes;
   uint64_t index;   /* of its last modification */
-  uint64_t created; /* index of its creation; 0 if not told */
-  bool removed;     /* PLATFORM_WATCH: the key is gone, without value */
+  uint64_t created; /* index of its creation; 0 if not reported */
+  bool removed;     /* PLATFORM_WATCH: the key was deleted; no value */
 };
 
 struct platform_host
@@ -100,11 +104,11 @@
 
 struct platform_port_ops
 {
-  /* Starts CALL, copying its strings; returns an id for cancel.  */
+  /* Starts CALL; its strings are copied.  Returns an id for cancel.  */
   uint64_t (*call) (struct platform_port *port,
                     const struct platform_call *call, platform_done done,
                     void *arg);
-  /* Drops the reply; the call may still take effect.  */
+  /* Cancels a call without a reply; it may still take effect.  */
   void (*cancel) (struct platform_port *port, uint64_t id);
 };
 
--- a/src/port/promote_port.h
+++ b/src/port/promote_port.h
@@ -1,6 +1,8 @@
-/* promote_port - the platform's order that makes an instance the primary.
+/* promote_port - interface to the platform's operation that promotes an
+   instance to primary.
 
-   Every call ends with exactly one reply, never from within the call.  */
+   Each call gets exactly one result, which is never delivered from within the
+   call.  */
 
 #ifndef SAVORYWAY_PORT_PROMOTE_PORT_H
 #define SAVORYWAY_PORT_PROMOTE_PORT_H
@@ -10,9 +12,9 @@
 enum promote_result
 {
   PROMOTE_ACCEPTED,
-  PROMOTE_REFUSED, /* token outdated, or the instance does not run */
-  PROMOTE_NOT_DONE,
-  PROMOTE_UNKNOWN /* no answer: may be carried out seconds later */
+  PROMOTE_REFUSED,  /* fencing token outdated, or instance not running */
+  PROMOTE_NOT_DONE, /* no effect */
+  PROMOTE_UNKNOWN   /* no response; may still be executed seconds later */
 };
 
 typedef void (*promote_done) (void *arg, enum promote_result result);
@@ -21,7 +23,8 @@
 
 struct promote_port_ops
 {
-  /* TOKEN is the fencing token, HOLDER the name of the lease's holder.  */
+  /* Promotes INSTANCE of GROUP.  TOKEN is the fencing token, HOLDER the name
+     of the lease's holder.  */
   void (*promote) (struct promote_port *port, const char *group,
                    const char *instance, const char *holder, uint64_t token,
                    promote_done done, void *arg);
