--- a/src/port/rpc_client.c
+++ b/src/port/rpc_client.c
@@ -10,7 +10,10 @@
 #include "port/address.h"
 #include "port/rpc_internal.h"
 
+/* Size of "ADDRESS:PORT/INCARNATION".  */
 #define KEY_BYTES (ADDRESS_BYTES + 48)
+
+/* Keeps the shift of the base delay within its type.  */
 #define BACKOFF_DOUBLINGS 16
 
 enum link_state
@@ -30,11 +33,11 @@
   enum link_state state;
   struct bufferevent *bev;
   struct rpc_record record;
-  struct event *timer; /* limit of a connect, back-off, or idle time */
-  uint32_t failures;   /* in a row */
+  struct event *timer; /* connect timeout, backoff or idle timeout */
+  uint32_t failures;   /* consecutive */
   uint32_t version;
   uint32_t next_xid;
-  uint64_t appended_bytes; /* to the output, since connected */
+  uint64_t appended_bytes; /* to the output since the connection was opened */
   struct rpc_call *calls;  /* by xid */
   UT_hash_handle hh;
 };
@@ -45,10 +48,11 @@
   uint64_t id;
   uint32_t xid;
   struct rpc_link *link; /* NULL once the outcome is known */
-  struct rpc_body body;  /* kept until it is appended to the output */
-  uint64_t end_bytes;    /* where its record ends in the output; 0: not in */
+  struct rpc_body body;  /* freed when appended to the output */
+  uint64_t end_bytes;    /* appended_bytes at the end of its record; 0: not
+                            appended yet */
   enum peer_status status;
-  struct event *timer; /* time limit, or report of an early failure */
+  struct event *timer; /* timeout, or deferred report of a failure */
   peer_done done;
   void *arg;
   UT_hash_handle hh;      /* in the port, by id */
@@ -74,7 +78,7 @@
   free (call);
 }
 
-/* Reports the outcome of CALL, which ends with it.  */
+/* Reports the outcome of CALL and frees it.  */
 static void
 call_finish (struct rpc_call *call, enum peer_status status,
              const peer_message *reply)
@@ -85,7 +89,8 @@
   done (arg, status, reply);
 }
 
-/* Reports STATUS from the loop, never from within the current call.  */
+/* Reports STATUS from the event loop, since the callback must not run from
+   within the operation in progress.  */
 static void
 call_fail_later (struct rpc_call *call, enum peer_status status)
 {
@@ -95,7 +100,7 @@
 }
 
 static void
-call_timer (evutil_socket_t fd, short what, void *arg)
+on_call_timer (evutil_socket_t fd, short what, void *arg)
 {
   struct rpc_call *call = arg;
   (void)fd;
@@ -108,8 +113,8 @@
   call_finish (call, call->status, NULL);
 }
 
-/* Fails all calls of LINK.  A peer can't have processed a call of which it
-   did not get the whole record.  */
+/* Fails all calls of LINK.  The peer can't have processed a call whose record
+   was not written completely.  */
 static void
 link_fail_calls (struct rpc_link *link)
 {
@@ -145,15 +150,17 @@
   free (link);
 }
 
+/* Sets the state of LINK and starts its timer.  */
 static void
-link_wait (struct rpc_link *link, enum link_state state, clk_ms span_ms)
+link_enter_state (struct rpc_link *link, enum link_state state, clk_ms span_ms)
 {
   struct timeval span = rpc_timeval (span_ms);
   link->state = state;
   evtimer_add (link->timer, &span);
 }
 
-/* Closes the connection after a failure and backs off.  */
+/* Closes the connection after a failure and starts the backoff: exponential
+   with full jitter.  */
 static void
 link_fail (struct rpc_link *link, const char *why)
 {
@@ -173,11 +180,11 @@
                LOG_I ("retry_ms", delay_ms));
   rpc_count (link->port, "rpc_connection_failures_total");
   link_disconnect (link);
-  link_wait (link, LINK_BACKOFF, delay_ms);
+  link_enter_state (link, LINK_BACKOFF, delay_ms);
 }
 
 static void
-link_timer (evutil_socket_t fd, short what, void *arg)
+on_link_timer (evutil_socket_t fd, short what, void *arg)
 {
   struct rpc_link *link = arg;
   (void)fd;
@@ -188,7 +195,7 @@
       link_fail (link, "connect timeout");
       break;
     case LINK_BACKOFF:
-      link_wait (link, LINK_DOWN, link->port->options.idle_timeout_ms);
+      link_enter_state (link, LINK_DOWN, link->port->options.idle_timeout_ms);
       break;
     case LINK_DOWN:
       link_free (link);
@@ -233,33 +240,34 @@
   HASH_ITER (hh_link, link->calls, call, next) { call_send (call); }
 }
 
-/* Handles one reply.  Returns false if it is malformed or not authentic.  */
+/* Handles a reply.  Returns false if it is malformed or not authentic.  */
 static bool
-link_reply (struct rpc_link *link, uint8_t *data, size_t size_bytes)
+link_handle_reply (struct rpc_link *link, uint8_t *data, size_t size_bytes)
 {
-  struct rpc_reply_header head;
+  struct rpc_reply_header header;
   struct rpc_call *call;
   peer_message message;
-  rpc_reply_read (link->port->secret, data, size_bytes, &head);
-  if (head.status == RPC_STATUS_BROKEN)
+  rpc_reply_read (link->port->secret, data, size_bytes, &header);
+  if (header.status == RPC_STATUS_INVALID)
     return false;
   link->failures = 0;
-  HASH_FIND (hh_link, link->calls, &head.xid, sizeof head.xid, call);
-  if (head.status == RPC_STATUS_VERSION && head.version_high >= RPC_VERSION_LOW
-      && head.version_high < link->version)
-    link->version = head.version_high;
+  HASH_FIND (hh_link, link->calls, &header.xid, sizeof header.xid, call);
+  if (header.status == RPC_STATUS_VERSION
+      && header.version_high >= RPC_VERSION_LOW
+      && header.version_high < link->version)
+    link->version = header.version_high;
   if (call == NULL)
     {
       rpc_count (link->port, "rpc_late_replies_total");
       return true;
     }
-  if (head.status != RPC_STATUS_OK)
+  if (header.status != RPC_STATUS_OK)
     {
       rpc_count (link->port, "rpc_calls_refused_total");
       call_finish (call, PEER_UNREACHABLE, NULL);
       return true;
     }
-  if (!rpc_body_decode (head.body, head.body_bytes, &message))
+  if (!rpc_body_decode (header.body, header.body_bytes, &message))
     return false;
   call_finish (call, PEER_OK, &message);
   xdr_free ((xdrproc_t)xdr_peer_message, &message);
@@ -267,7 +275,7 @@
 }
 
 static void
-link_read (struct bufferevent *bev, void *arg)
+on_link_input (struct bufferevent *bev, void *arg)
 {
   struct rpc_link *link = arg;
   struct evbuffer *input = bufferevent_get_input (bev);
@@ -276,35 +284,36 @@
     {
       size_t size_bytes;
       uint8_t *data = rpc_record_data (&link->record, &size_bytes);
-      bool ok = link_reply (link, data, size_bytes);
+      bool ok = link_handle_reply (link, data, size_bytes);
       rpc_record_next (&link->record);
       if (!ok)
         {
-          state = RPC_RECORD_BROKEN;
+          state = RPC_RECORD_MALFORMED;
           break;
         }
     }
-  if (state != RPC_RECORD_BROKEN)
+  if (state != RPC_RECORD_MALFORMED)
     return;
   rpc_count (link->port, "rpc_bad_records_total");
-  link_fail (link, "bad reply");
+  link_fail (link, "invalid reply");
 }
 
 static void
-link_event (struct bufferevent *bev, short what, void *arg)
+on_link_event (struct bufferevent *bev, short what, void *arg)
 {
   struct rpc_link *link = arg;
-  bool busy = link->calls != NULL;
+  bool has_calls = link->calls != NULL;
   if (what & BEV_EVENT_CONNECTED)
     link_opened (link);
-  else if ((what & BEV_EVENT_TIMEOUT) && busy)
+  else if ((what & BEV_EVENT_TIMEOUT) && has_calls)
     bufferevent_enable (bev, EV_READ);
-  else if (link->state == LINK_CONNECTING || busy)
-    link_fail (link, (what & BEV_EVENT_EOF) ? "closed" : "broken");
+  else if (link->state == LINK_CONNECTING || has_calls)
+    link_fail (link,
+               (what & BEV_EVENT_EOF) ? "closed by peer" : "connection error");
   else
     {
       link_disconnect (link);
-      link_wait (link, LINK_DOWN, link->port->options.idle_timeout_ms);
+      link_enter_state (link, LINK_DOWN, link->port->options.idle_timeout_ms);
     }
 }
 
@@ -318,20 +327,20 @@
   rpc_record_init (&link->record, port->options.message_limit_bytes);
   if (!address_parse (link->peer.address, link->peer.port, &address, &length))
     {
-      link_fail (link, "bad address");
+      link_fail (link, "invalid address");
       return;
     }
   link->bev = bufferevent_socket_new (port->events, -1, BEV_OPT_CLOSE_ON_FREE);
   struct timeval idle = rpc_timeval (port->options.idle_timeout_ms);
-  bufferevent_setcb (link->bev, link_read, NULL, link_event, link);
+  bufferevent_setcb (link->bev, on_link_input, NULL, on_link_event, link);
   bufferevent_set_timeouts (link->bev, &idle, NULL);
   bufferevent_setwatermark (link->bev, EV_READ, 0, RPC_READ_AHEAD_BYTES);
   bufferevent_enable (link->bev, EV_READ | EV_WRITE);
-  link_wait (link, LINK_CONNECTING, port->options.connect_timeout_ms);
+  link_enter_state (link, LINK_CONNECTING, port->options.connect_timeout_ms);
   if (bufferevent_socket_connect (link->bev, (struct sockaddr *)&address,
                                   length)
       != 0)
-    link_fail (link, "connect");
+    link_fail (link, "connect failed");
 }
 
 static struct rpc_link *
@@ -349,7 +358,7 @@
   link->peer = *to;
   memcpy (link->key, key, sizeof key);
   link->version = RPC_VERSION_HIGH;
-  link->timer = evtimer_new (port->events, link_timer, link);
+  link->timer = evtimer_new (port->events, on_link_timer, link);
   HASH_ADD_STR (port->links, key, link);
   return link;
 }
@@ -368,7 +377,7 @@
   call->link = link;
   call->done = done;
   call->arg = arg;
-  call->timer = evtimer_new (port->events, call_timer, call);
+  call->timer = evtimer_new (port->events, on_call_timer, call);
   HASH_ADD (hh, port->calls, id, sizeof call->id, call);
   HASH_ADD (hh_link, link->calls, xid, sizeof call->xid, call);
   evtimer_add (call->timer, &limit);
--- a/src/port/rpc_internal.h
+++ b/src/port/rpc_internal.h
@@ -1,4 +1,5 @@
-/* rpc_internal - shared by the client and server halves of rpc_port.  */
+/* rpc_internal - state shared by the client and the server part of rpc_port.
+   Private to rpc_*.c.  */
 
 #ifndef SAVORYWAY_PORT_RPC_INTERNAL_H
 #define SAVORYWAY_PORT_RPC_INTERNAL_H
@@ -11,10 +12,10 @@
 #include "port/rpc_port.h"
 #include "port/rpc_record.h"
 
-/* Most that is read from a connection before it is handled.  */
+/* Limit on the input that is buffered before it is handled.  */
 #define RPC_READ_AHEAD_BYTES (256UL * 1024)
 
-/* Room for the head of a record.  */
+/* Limit on the RPC header of a record.  */
 #define RPC_HEADER_LIMIT_BYTES 1024
 
 struct rpc_link;
@@ -29,35 +30,37 @@
   struct rpc_options options;
   uint8_t secret[RPC_SECRET_BYTES];
   struct rpc_link *links; /* by peer */
-  struct rpc_call *calls; /* made here, by id */
+  struct rpc_call *calls; /* outgoing, by id */
   uint64_t next_call;
   struct evconnlistener *listener;
   uint16_t bound;
   struct rpc_conn *conns; /* accepted */
   uint32_t conn_count;
-  struct rpc_incoming *incoming; /* calls to answer, by id */
+  struct rpc_incoming *incoming; /* unanswered calls, by id */
   uint64_t next_incoming;
   peer_handler handler;
   void *handler_arg;
 };
 
-/* Adds 1 to the counter NAME.  */
+/* Increments the counter NAME.  */
 void rpc_count (struct rpc_port *port, const char *name);
 
+/* Converts a time span; a negative one becomes 0.  */
 struct timeval rpc_timeval (clk_ms span_ms);
 
-/* Sends small records at once, and has the connection break when what was
-   sent is not acknowledged by the peer's host for options.dead_peer_ms.  */
+/* Disables Nagle's algorithm, and makes the connection fail when sent data has
+   not been acknowledged for options.dead_peer_ms.  */
 void rpc_tune_socket (const struct rpc_port *port, struct bufferevent *bev);
 
-/* Calls to other hosts.  */
+/* Outgoing calls; see peer_port.h.  */
 uint64_t rpc_client_call (struct rpc_port *port, const struct peer_address *to,
                           const peer_message *message, clk_ms timeout_ms,
                           peer_done done, void *arg);
 void rpc_client_cancel (struct rpc_port *port, uint64_t id);
 void rpc_client_close (struct rpc_port *port);
 
-/* Calls from other hosts.  */
+/* Incoming calls.  rpc_server_open starts to listen; it returns false with
+   errno set if it can't.  */
 bool rpc_server_open (struct rpc_port *port);
 void rpc_server_reply (struct rpc_port *port, uint64_t call,
                        const peer_message *message);
--- a/src/port/rpc_message.c
+++ b/src/port/rpc_message.c
@@ -13,8 +13,8 @@
 
 _Static_assert(crypto_auth_KEYBYTES == RPC_SECRET_BYTES, "secret size");
 
-/* Words that are hashed before the body.  */
-struct sealed_words
+/* Header fields that the HMAC covers, in front of the body.  */
+struct mac_input
 {
   uint32_t direction;
   uint32_t xid;
@@ -24,33 +24,33 @@
 };
 
 static void
-seal (uint8_t tag[crypto_auth_BYTES], const uint8_t *secret,
-      const struct sealed_words *words, const void *body, size_t body_bytes)
+compute_mac (uint8_t mac[crypto_auth_BYTES], const uint8_t *secret,
+             const struct mac_input *input, const void *body,
+             size_t body_bytes)
 {
   crypto_auth_hmacsha512256_state state;
   uint32_t wire[]
-      = { htonl (words->direction), htonl (words->xid), htonl (words->program),
-          htonl (words->version), htonl (words->procedure) };
+      = { htonl (input->direction), htonl (input->xid), htonl (input->program),
+          htonl (input->version), htonl (input->procedure) };
   crypto_auth_hmacsha512256_init (&state, secret, RPC_SECRET_BYTES);
   crypto_auth_hmacsha512256_update (&state, (const uint8_t *)wire,
                                     sizeof wire);
   if (body_bytes > 0)
     crypto_auth_hmacsha512256_update (&state, body, body_bytes);
-  crypto_auth_hmacsha512256_final (&state, tag);
+  crypto_auth_hmacsha512256_final (&state, mac);
 }
 
 static bool
-seal_holds (const struct opaque_auth *auth, const uint8_t *secret,
-            const struct sealed_words *words, const void *body,
-            size_t body_bytes)
+verify_mac (const struct opaque_auth *auth, const uint8_t *secret,
+            const struct mac_input *input, const void *body, size_t body_bytes)
 {
-  uint8_t tag[crypto_auth_BYTES];
+  uint8_t mac[crypto_auth_BYTES];
   if (auth->oa_flavor != RPC_FLAVOR_SECRET)
     return false;
-  if (auth->oa_length != sizeof tag)
+  if (auth->oa_length != sizeof mac)
     return false;
-  seal (tag, secret, words, body, body_bytes);
-  return sodium_memcmp (tag, auth->oa_base, sizeof tag) == 0;
+  compute_mac (mac, secret, input, body, body_bytes);
+  return sodium_memcmp (mac, auth->oa_base, sizeof mac) == 0;
 }
 
 bool
@@ -86,7 +86,7 @@
   return false;
 }
 
-/* The results follow the header; they are coded apart from it.  */
+/* The results follow the header but are encoded separately.  */
 static bool_t
 no_results (XDR *xdr, ...)
 {
@@ -94,7 +94,7 @@
   return TRUE;
 }
 
-/* Appends a record of an encoded header and a body that may be NULL.  */
+/* Appends a record of the header MESSAGE and BODY, which may be NULL.  */
 static void
 write_record (struct evbuffer *output, struct rpc_msg *message,
               const struct rpc_body *body)
@@ -122,28 +122,28 @@
                 uint32_t version, uint32_t procedure,
                 const struct rpc_body *body)
 {
-  uint8_t tag[crypto_auth_BYTES];
-  struct sealed_words words = { .direction = CALL,
-                                .xid = xid,
-                                .program = SAVORYWAY_PEER,
-                                .version = version,
-                                .procedure = procedure };
-  seal (tag, secret, &words, body->data, body->size_bytes);
+  uint8_t mac[crypto_auth_BYTES];
+  struct mac_input input = { .direction = CALL,
+                             .xid = xid,
+                             .program = SAVORYWAY_PEER,
+                             .version = version,
+                             .procedure = procedure };
+  compute_mac (mac, secret, &input, body->data, body->size_bytes);
   struct rpc_msg message = { .rm_xid = xid, .rm_direction = CALL };
   message.rm_call.cb_rpcvers = RPC_MSG_VERSION;
   message.rm_call.cb_prog = SAVORYWAY_PEER;
   message.rm_call.cb_vers = version;
   message.rm_call.cb_proc = procedure;
   message.rm_call.cb_cred.oa_flavor = RPC_FLAVOR_SECRET;
-  message.rm_call.cb_cred.oa_base = (caddr_t)tag;
-  message.rm_call.cb_cred.oa_length = sizeof tag;
+  message.rm_call.cb_cred.oa_base = (caddr_t)mac;
+  message.rm_call.cb_cred.oa_length = sizeof mac;
   message.rm_call.cb_verf.oa_flavor = AUTH_NONE;
   write_record (output, &message, body);
 }
 
 enum rpc_status
 rpc_call_read (const uint8_t *secret, uint8_t *data, size_t size_bytes,
-               struct rpc_call_header *head, bool *answerable)
+               struct rpc_call_header *header, bool *answerable)
 {
   char cred[MAX_AUTH_BYTES];
   char verf[MAX_AUTH_BYTES];
@@ -154,24 +154,24 @@
   *answerable = false;
   xdrmem_create (&xdr, (char *)data, (u_int)size_bytes, XDR_DECODE);
   if (!xdr_callmsg (&xdr, &message))
-    return RPC_STATUS_BROKEN;
+    return RPC_STATUS_INVALID;
   *answerable = true;
-  head->xid = message.rm_xid;
-  head->program = message.rm_call.cb_prog;
-  head->version = message.rm_call.cb_vers;
-  head->procedure = message.rm_call.cb_proc;
-  head->body = data + xdr_getpos (&xdr);
-  head->body_bytes = size_bytes - xdr_getpos (&xdr);
-  struct sealed_words words = { .direction = CALL,
-                                .xid = head->xid,
-                                .program = head->program,
-                                .version = head->version,
-                                .procedure = head->procedure };
+  header->xid = message.rm_xid;
+  header->program = message.rm_call.cb_prog;
+  header->version = message.rm_call.cb_vers;
+  header->procedure = message.rm_call.cb_proc;
+  header->body = data + xdr_getpos (&xdr);
+  header->body_bytes = size_bytes - xdr_getpos (&xdr);
+  struct mac_input input = { .direction = CALL,
+                             .xid = header->xid,
+                             .program = header->program,
+                             .version = header->version,
+                             .procedure = header->procedure };
   if (message.rm_call.cb_verf.oa_flavor != AUTH_NONE)
-    return RPC_STATUS_BROKEN;
-  if (!seal_holds (&message.rm_call.cb_cred, secret, &words, head->body,
-                   head->body_bytes))
-    return RPC_STATUS_BROKEN;
+    return RPC_STATUS_INVALID;
+  if (!verify_mac (&message.rm_call.cb_cred, secret, &input, header->body,
+                   header->body_bytes))
+    return RPC_STATUS_INVALID;
   return RPC_STATUS_OK;
 }
 
@@ -179,18 +179,18 @@
 rpc_reply_write (struct evbuffer *output, const uint8_t *secret, uint32_t xid,
                  uint32_t stat, const struct rpc_body *body)
 {
-  uint8_t tag[crypto_auth_BYTES];
-  struct sealed_words words = { .direction = REPLY,
-                                .xid = xid,
-                                .program = SAVORYWAY_PEER,
-                                .procedure = stat };
+  uint8_t mac[crypto_auth_BYTES];
+  struct mac_input input = { .direction = REPLY,
+                             .xid = xid,
+                             .program = SAVORYWAY_PEER,
+                             .procedure = stat };
   const void *data = body != NULL ? body->data : NULL;
-  seal (tag, secret, &words, data, body != NULL ? body->size_bytes : 0);
+  compute_mac (mac, secret, &input, data, body != NULL ? body->size_bytes : 0);
   struct rpc_msg message = { .rm_xid = xid, .rm_direction = REPLY };
   message.rm_reply.rp_stat = MSG_ACCEPTED;
   message.acpted_rply.ar_verf.oa_flavor = RPC_FLAVOR_SECRET;
-  message.acpted_rply.ar_verf.oa_base = (caddr_t)tag;
-  message.acpted_rply.ar_verf.oa_length = sizeof tag;
+  message.acpted_rply.ar_verf.oa_base = (caddr_t)mac;
+  message.acpted_rply.ar_verf.oa_length = sizeof mac;
   message.acpted_rply.ar_stat = (enum accept_stat)stat;
   if (stat == SUCCESS)
     message.acpted_rply.ar_results.proc = no_results;
@@ -214,38 +214,38 @@
 
 enum rpc_status
 rpc_reply_read (const uint8_t *secret, uint8_t *data, size_t size_bytes,
-                struct rpc_reply_header *head)
+                struct rpc_reply_header *header)
 {
   char verf[MAX_AUTH_BYTES];
   struct rpc_msg message = { .rm_direction = REPLY };
   XDR xdr;
   message.acpted_rply.ar_verf.oa_base = verf;
   message.acpted_rply.ar_results.proc = no_results;
-  memset (head, 0, sizeof *head);
-  head->status = RPC_STATUS_BROKEN;
+  memset (header, 0, sizeof *header);
+  header->status = RPC_STATUS_INVALID;
   xdrmem_create (&xdr, (char *)data, (u_int)size_bytes, XDR_DECODE);
   if (!xdr_replymsg (&xdr, &message))
-    return head->status;
-  head->xid = message.rm_xid;
+    return header->status;
+  header->xid = message.rm_xid;
   if (message.rm_reply.rp_stat != MSG_ACCEPTED)
-    return head->status;
-  head->body = data + xdr_getpos (&xdr);
-  head->body_bytes = size_bytes - xdr_getpos (&xdr);
-  struct sealed_words words = { .direction = REPLY,
-                                .xid = head->xid,
-                                .program = SAVORYWAY_PEER,
-                                .procedure = message.acpted_rply.ar_stat };
-  if (!seal_holds (&message.acpted_rply.ar_verf, secret, &words, head->body,
-                   head->body_bytes))
-    return head->status;
+    return header->status;
+  header->body = data + xdr_getpos (&xdr);
+  header->body_bytes = size_bytes - xdr_getpos (&xdr);
+  struct mac_input input = { .direction = REPLY,
+                             .xid = header->xid,
+                             .program = SAVORYWAY_PEER,
+                             .procedure = message.acpted_rply.ar_stat };
+  if (!verify_mac (&message.acpted_rply.ar_verf, secret, &input, header->body,
+                   header->body_bytes))
+    return header->status;
   if (message.acpted_rply.ar_stat == SUCCESS)
-    head->status = RPC_STATUS_OK;
+    header->status = RPC_STATUS_OK;
   else if (message.acpted_rply.ar_stat == PROG_MISMATCH)
     {
-      head->status = RPC_STATUS_VERSION;
-      head->version_high = message.acpted_rply.ar_vers.high;
+      header->status = RPC_STATUS_VERSION;
+      header->version_high = message.acpted_rply.ar_vers.high;
     }
   else
-    head->status = RPC_STATUS_REFUSED;
-  return head->status;
+    header->status = RPC_STATUS_REFUSED;
+  return header->status;
 }
--- a/src/port/rpc_port.c
+++ b/src/port/rpc_port.c
@@ -9,6 +9,7 @@
 #include "kernel/mem.h"
 #include "port/rpc_internal.h"
 
+/* Defaults of the options.  */
 #define MESSAGE_LIMIT_BYTES (17UL * 1024 * 1024)
 #define BUFFER_LIMIT_BYTES (34UL * 1024 * 1024)
 #define CONNECTION_LIMIT 16384
@@ -35,8 +36,8 @@
     metrics_increment (port->options.metrics, name);
 }
 
-/* No keepalive: probes of idle connections between all pairs of hosts would
-   cost more than all else that they say to each other.  */
+/* Keep-alive stays off: its probes on the idle connections between all pairs
+   of hosts would cost more than all other traffic between them.  */
 void
 rpc_tune_socket (const struct rpc_port *port, struct bufferevent *bev)
 {
--- a/src/port/rpc_record.c
+++ b/src/port/rpc_record.c
@@ -22,7 +22,8 @@
   record->bytes = NULL;
 }
 
-/* Reads the mark of the next fragment.  */
+/* Reads the mark of the next fragment.  Returns RPC_RECORD_WHOLE if it is
+   valid.  */
 static enum rpc_record_state
 read_mark (struct rpc_record *record, struct evbuffer *input)
 {
@@ -33,11 +34,11 @@
   mark = ntohl (mark);
   record->last = (mark & LAST_FRAGMENT) != 0;
   record->left_bytes = mark & ~LAST_FRAGMENT;
-  size_t held = evbuffer_get_length (record->bytes);
+  size_t received_bytes = evbuffer_get_length (record->bytes);
   if (record->left_bytes == 0)
-    return RPC_RECORD_BROKEN;
-  if (record->left_bytes > record->limit_bytes - held)
-    return RPC_RECORD_BROKEN;
+    return RPC_RECORD_MALFORMED;
+  if (record->left_bytes > record->limit_bytes - received_bytes)
+    return RPC_RECORD_MALFORMED;
   return RPC_RECORD_WHOLE;
 }
 
@@ -79,7 +80,7 @@
 }
 
 bool
-rpc_record_begun (const struct rpc_record *record)
+rpc_record_is_partial (const struct rpc_record *record)
 {
   return record->left_bytes > 0 || evbuffer_get_length (record->bytes) > 0;
 }
--- a/src/port/rpc_record.h
+++ b/src/port/rpc_record.h
@@ -1,7 +1,7 @@
 /* rpc_record - record marking of ONC RPC over TCP (RFC 5531, section 11).
 
-   A record is a sequence of fragments; each begins with four bytes, of which
-   the top bit marks the last fragment and the rest give its length.  */
+   A record is a sequence of fragments.  Each starts with a mark of four bytes:
+   the top bit is set in the last fragment, the other bits are the length.  */
 
 #ifndef SAVORYWAY_PORT_RPC_RECORD_H
 #define SAVORYWAY_PORT_RPC_RECORD_H
@@ -12,11 +12,12 @@
 
 #include <event2/buffer.h>
 
+/* Progress of receiving a record.  */
 enum rpc_record_state
 {
   RPC_RECORD_PARTIAL, /* more bytes are needed */
   RPC_RECORD_WHOLE,
-  RPC_RECORD_BROKEN /* empty fragment, or over the limit */
+  RPC_RECORD_MALFORMED /* empty fragment, or record over the limit */
 };
 
 /* A record being received.  */
@@ -24,28 +25,29 @@
 {
   struct evbuffer *bytes;
   size_t limit_bytes; /* of a whole record */
-  size_t left_bytes;  /* of the fragment under way */
-  bool last;
+  size_t left_bytes;  /* still to be received of the current fragment */
+  bool last;          /* the current fragment is the last one */
 };
 
 void rpc_record_init (struct rpc_record *record, size_t limit_bytes);
 void rpc_record_clear (struct rpc_record *record);
 
-/* Moves bytes from INPUT to RECORD, up to the end of the record.  */
+/* Moves bytes from INPUT to RECORD, at most up to the end of the record.  */
 enum rpc_record_state rpc_record_read (struct rpc_record *record,
                                        struct evbuffer *input);
 
 /* Returns the bytes of a whole record as one block, which is valid until
-   rpc_record_next; SIZE_BYTES is set to its length.  */
+   rpc_record_next, and sets SIZE_BYTES to its length.  */
 uint8_t *rpc_record_data (struct rpc_record *record, size_t *size_bytes);
 
-/* Makes RECORD ready for the next one.  */
+/* Empties RECORD for the next one.  */
 void rpc_record_next (struct rpc_record *record);
 
-/* Whether part of a record has been received.  */
-bool rpc_record_begun (const struct rpc_record *record);
+/* Returns whether part of a record has been received.  */
+bool rpc_record_is_partial (const struct rpc_record *record);
 
-/* Appends the mark of a record of one fragment of SIZE_BYTES to OUTPUT.  */
+/* Appends the mark of a record that is one fragment of SIZE_BYTES to
+   OUTPUT.  */
 void rpc_record_mark (struct evbuffer *output, size_t size_bytes);
 
 #endif
--- a/src/port/rpc_server.c
+++ b/src/port/rpc_server.c
@@ -9,11 +9,14 @@
 #include "port/address.h"
 #include "port/rpc_internal.h"
 
-/* A connection must bring an authentic call within this time.  */
+/* A new connection is closed if no authentic call arrives within this
+   time.  */
 #define FIRST_CALL_TIMEOUT_MS 10000
 
-/* Peers close idle connections first, so that no call meets a closing.  */
-#define IDLE_FACTOR 2
+/* Ratio of the idle timeouts of the accepting and the calling side.  The
+   caller closes first, so that no call is sent on a connection that is being
+   closed.  */
+#define IDLE_TIMEOUT_FACTOR 2
 
 #define LISTEN_BACKLOG 1024
 
@@ -24,8 +27,8 @@
   struct bufferevent *bev;
   struct rpc_record record;
   struct event *timer; /* closes the connection */
-  bool authentic;      /* has brought an authentic call */
-  bool closing;        /* closes once the output is written */
+  bool authentic;      /* an authentic call has been received */
+  bool closing;        /* to be closed once the output is written */
   uint32_t last_xid;
   uint32_t call_count;
   struct rpc_incoming *calls;
@@ -33,12 +36,12 @@
   struct rpc_conn *next;
 };
 
-/* A call to be answered.  */
+/* A call that has not been answered yet.  */
 struct rpc_incoming
 {
   uint64_t id;
   uint32_t xid;
-  struct rpc_conn *conn; /* NULL once it is closed */
+  struct rpc_conn *conn; /* NULL once the connection is closed */
   struct rpc_incoming *prev;
   struct rpc_incoming *next;
   UT_hash_handle hh;
@@ -59,7 +62,7 @@
 }
 
 static void
-conn_timer (evutil_socket_t fd, short what, void *arg)
+on_conn_timer (evutil_socket_t fd, short what, void *arg)
 {
   struct rpc_conn *conn = arg;
   (void)fd;
@@ -68,8 +71,8 @@
   conn_free (conn);
 }
 
-/* Closes CONN once its output is written, or at the latest after the time
-   in which a first call is due.  */
+/* Closes CONN once its output is written, at the latest after
+   FIRST_CALL_TIMEOUT_MS.  */
 static void
 conn_close_after_output (struct rpc_conn *conn)
 {
@@ -87,15 +90,15 @@
   rpc_reply_write (output, conn->port->secret, xid, stat, NULL);
 }
 
-/* Returns why a call can't be taken; SUCCESS if it can.  */
+/* Returns SUCCESS if the call can be processed, else the error to reply.  */
 static enum accept_stat
-check_call (const struct rpc_conn *conn, const struct rpc_call_header *head)
+check_call (const struct rpc_conn *conn, const struct rpc_call_header *header)
 {
-  if (head->program != SAVORYWAY_PEER)
+  if (header->program != SAVORYWAY_PEER)
     return PROG_UNAVAIL;
-  if (head->version < RPC_VERSION_LOW || head->version > RPC_VERSION_HIGH)
+  if (header->version < RPC_VERSION_LOW || header->version > RPC_VERSION_HIGH)
     return PROG_MISMATCH;
-  if (head->procedure != PEER_CALL)
+  if (header->procedure != PEER_CALL)
     return PROC_UNAVAIL;
   if (conn->port->handler == NULL
       || conn->call_count >= conn->port->options.call_limit)
@@ -104,24 +107,24 @@
 }
 
 static void
-conn_take_call (struct rpc_conn *conn, const struct rpc_call_header *head)
+conn_handle_call (struct rpc_conn *conn, const struct rpc_call_header *header)
 {
   struct rpc_port *port = conn->port;
   peer_message message;
-  enum accept_stat stat = check_call (conn, head);
+  enum accept_stat stat = check_call (conn, header);
   if (stat != SUCCESS)
     {
-      conn_refuse (conn, head->xid, stat);
+      conn_refuse (conn, header->xid, stat);
       return;
     }
-  if (!rpc_body_decode (head->body, head->body_bytes, &message))
+  if (!rpc_body_decode (header->body, header->body_bytes, &message))
     {
-      conn_refuse (conn, head->xid, GARBAGE_ARGS);
+      conn_refuse (conn, header->xid, GARBAGE_ARGS);
       return;
     }
   struct rpc_incoming *call = mem_zalloc (sizeof *call);
   call->id = ++port->next_incoming;
-  call->xid = head->xid;
+  call->xid = header->xid;
   call->conn = conn;
   conn->call_count++;
   DL_APPEND (conn->calls, call);
@@ -131,34 +134,35 @@
   xdr_free ((xdrproc_t)xdr_peer_message, &message);
 }
 
-/* Handles one record.  Returns false if the connection must close.  */
+/* Handles a record.  Returns false if the connection must be closed.  */
 static bool
-conn_record (struct rpc_conn *conn, uint8_t *data, size_t size_bytes)
+conn_handle_record (struct rpc_conn *conn, uint8_t *data, size_t size_bytes)
 {
-  struct rpc_call_header head;
+  struct rpc_call_header header;
   bool answerable;
-  if (rpc_call_read (conn->port->secret, data, size_bytes, &head, &answerable)
+  if (rpc_call_read (conn->port->secret, data, size_bytes, &header,
+                     &answerable)
       != RPC_STATUS_OK)
     {
       if (answerable)
-        rpc_denial_write (bufferevent_get_output (conn->bev), head.xid);
+        rpc_denial_write (bufferevent_get_output (conn->bev), header.xid);
       return false;
     }
   if (!conn->authentic)
     evtimer_del (conn->timer);
-  else if ((int32_t)(head.xid - conn->last_xid) <= 0)
+  else if ((int32_t)(header.xid - conn->last_xid) <= 0)
     {
       rpc_count (conn->port, "rpc_duplicate_xids_total");
       return true;
     }
   conn->authentic = true;
-  conn->last_xid = head.xid;
-  conn_take_call (conn, &head);
+  conn->last_xid = header.xid;
+  conn_handle_call (conn, &header);
   return true;
 }
 
 static void
-conn_read (struct bufferevent *bev, void *arg)
+on_conn_input (struct bufferevent *bev, void *arg)
 {
   struct rpc_conn *conn = arg;
   struct evbuffer *input = bufferevent_get_input (bev);
@@ -169,15 +173,15 @@
     {
       size_t size_bytes;
       uint8_t *data = rpc_record_data (&conn->record, &size_bytes);
-      bool ok = conn_record (conn, data, size_bytes);
+      bool ok = conn_handle_record (conn, data, size_bytes);
       rpc_record_next (&conn->record);
       if (!ok)
         {
-          state = RPC_RECORD_BROKEN;
+          state = RPC_RECORD_MALFORMED;
           break;
         }
     }
-  if (state != RPC_RECORD_BROKEN)
+  if (state != RPC_RECORD_MALFORMED)
     return;
   rpc_count (conn->port, "rpc_bad_records_total");
   if (evbuffer_get_length (bufferevent_get_output (bev)) == 0)
@@ -187,7 +191,7 @@
 }
 
 static void
-conn_written (struct bufferevent *bev, void *arg)
+on_conn_output (struct bufferevent *bev, void *arg)
 {
   struct rpc_conn *conn = arg;
   if (conn->closing && evbuffer_get_length (bufferevent_get_output (bev)) == 0)
@@ -195,7 +199,7 @@
 }
 
 static void
-conn_event (struct bufferevent *bev, short what, void *arg)
+on_conn_event (struct bufferevent *bev, short what, void *arg)
 {
   struct rpc_conn *conn = arg;
   if ((what & BEV_EVENT_TIMEOUT) && conn->call_count > 0)
@@ -205,8 +209,8 @@
 }
 
 static void
-accept_conn (struct evconnlistener *listener, evutil_socket_t fd,
-             struct sockaddr *address, int length, void *arg)
+on_accept (struct evconnlistener *listener, evutil_socket_t fd,
+           struct sockaddr *address, int length, void *arg)
 {
   struct rpc_port *port = arg;
   (void)listener;
@@ -221,16 +225,17 @@
   struct rpc_conn *conn = mem_zalloc (sizeof *conn);
   struct timeval first = rpc_timeval (FIRST_CALL_TIMEOUT_MS);
   struct timeval idle
-      = rpc_timeval (port->options.idle_timeout_ms * IDLE_FACTOR);
+      = rpc_timeval (port->options.idle_timeout_ms * IDLE_TIMEOUT_FACTOR);
   conn->port = port;
   conn->bev = bufferevent_socket_new (port->events, fd, BEV_OPT_CLOSE_ON_FREE);
-  conn->timer = evtimer_new (port->events, conn_timer, conn);
+  conn->timer = evtimer_new (port->events, on_conn_timer, conn);
   rpc_record_init (&conn->record, port->options.message_limit_bytes);
   DL_APPEND (port->conns, conn);
   port->conn_count++;
   evtimer_add (conn->timer, &first);
   rpc_tune_socket (port, conn->bev);
-  bufferevent_setcb (conn->bev, conn_read, conn_written, conn_event, conn);
+  bufferevent_setcb (conn->bev, on_conn_input, on_conn_output, on_conn_event,
+                     conn);
   bufferevent_set_timeouts (conn->bev, &idle, NULL);
   bufferevent_setwatermark (conn->bev, EV_READ, 0, RPC_READ_AHEAD_BYTES);
   bufferevent_enable (conn->bev, EV_READ | EV_WRITE);
@@ -246,7 +251,7 @@
                       &length))
     return false;
   port->listener = evconnlistener_new_bind (
-      port->events, accept_conn, port, flags, LISTEN_BACKLOG,
+      port->events, on_accept, port, flags, LISTEN_BACKLOG,
       (struct sockaddr *)&address, length);
   if (port->listener == NULL)
     return false;
@@ -254,7 +259,7 @@
   return true;
 }
 
-/* Writes a reply to the connection that CALL came on.  */
+/* Writes a reply to the connection that CALL arrived on.  */
 static void
 write_reply (struct rpc_port *port, struct rpc_incoming *call,
              const peer_message *message)
@@ -266,7 +271,7 @@
                         port->options.message_limit_bytes
                             - RPC_HEADER_LIMIT_BYTES))
     {
-      /* A refusal would say that the call was not processed.  */
+      /* No error reply: it would mean that the call was not processed.  */
       rpc_count (port, "rpc_replies_too_large_total");
       return;
     }
