--- a/tests/unit/pg_client.h
+++ b/tests/unit/pg_client.h
@@ -1,5 +1,5 @@
-/* pg_client - a group of the stand-in, and a client of the PostgreSQL port,
-   for tests.  setup and teardown are the fixture of each test.  */
+/* pg_client - test client of the PostgreSQL port, and a database group of the
+   stand-in.  setup and teardown are the fixture of each test.  */
 
 #ifndef TESTS_UNIT_PG_CLIENT_H
 #define TESTS_UNIT_PG_CLIENT_H
@@ -21,7 +21,7 @@
 
 struct client
 {
-  const struct db_job *again; /* submitted from within the next result */
+  const struct db_job *next_job; /* submitted from the result callback */
   struct db_conn *conn;
   bool opened, closed, answered;
   struct db_result result;
@@ -51,11 +51,11 @@
             result->payload == NULL ? "" : result->payload);
   snprintf (client->sqlstate, sizeof client->sqlstate, "%s",
             result->sqlstate == NULL ? "" : result->sqlstate);
-  const struct db_job *again = client->again;
-  client->again = NULL;
-  client->answered = again == NULL;
-  if (again != NULL)
-    port->ops->submit (port, conn, again);
+  const struct db_job *next_job = client->next_job;
+  client->next_job = NULL;
+  client->answered = next_job == NULL;
+  if (next_job != NULL)
+    port->ops->submit (port, conn, next_job);
 }
 
 static inline void
@@ -161,7 +161,7 @@
 
 struct control
 {
-  int status; /* -1 while it runs */
+  int status; /* HTTP status; -1 while the request is in flight */
   char body[4096];
 };
 
@@ -175,9 +175,10 @@
   evbuffer_remove (input, control->body, sizeof control->body - 1);
 }
 
-/* Asks the stand-in's control port; BODY NULL is a GET.  */
+/* Sends a request to the stand-in's control port: a POST of BODY, or a GET if
+   BODY is NULL.  */
 static inline struct control
-ask (const char *path, const char *body)
+send_control (const char *path, const char *body)
 {
   struct control control = { .status = -1 };
   struct evhttp_connection *http = evhttp_connection_base_new (
@@ -201,14 +202,14 @@
   snprintf (body, sizeof body,
             "{\"instance\":\"%s\",\"kind\":\"%s\",\"value\":%d}", name, kind,
             value);
-  ask ("/fault", body);
+  send_control ("/fault", body);
 }
 
-/* Number that follows KEY in the state of the first instance.  */
+/* Returns the number that follows KEY in the state of the first instance.  */
 static inline int
 state (const char *key)
 {
-  struct control control = ask ("/state", NULL);
+  struct control control = send_control ("/state", NULL);
   const char *at = strstr (control.body, key);
   ck_assert_ptr_nonnull (at);
   return (int)strtol (at + strlen (key), NULL, 10);
--- a/tests/unit/test_consul.c
+++ b/tests/unit/test_consul.c
@@ -22,7 +22,7 @@
 static struct platform_port *port;
 static struct metrics *metrics;
 
-/* Copy of the last reply, and how many have come.  */
+/* Copy of the last reply, and the number of replies so far.  */
 static struct
 {
   int replies;
@@ -73,7 +73,7 @@
 }
 
 static uint64_t
-begin (const struct platform_call *call)
+start_call (const struct platform_call *call)
 {
   int before = got.replies;
   uint64_t id = port->ops->call (port, call, on_reply, NULL);
@@ -82,7 +82,7 @@
 }
 
 static enum platform_status
-await (int replies)
+wait_replies (int replies)
 {
   while (got.replies < replies)
     ck_assert_int_eq (event_base_loop (base, EVLOOP_ONCE), 0);
@@ -94,8 +94,8 @@
 run (const struct platform_call *call)
 {
   int replies = got.replies + 1;
-  begin (call);
-  return await (replies);
+  start_call (call);
+  return wait_replies (replies);
 }
 
 static enum platform_status
@@ -129,7 +129,7 @@
   *(bool *)arg = true;
 }
 
-/* Speaks to the stand-in past the port.  */
+/* Sends a PUT request to the stand-in directly, without the port.  */
 static void
 send_put (const char *path, const char *body)
 {
@@ -204,7 +204,7 @@
   ck_assert_uint_eq (got.items, 0);
 }
 
-UNIT_TEST (test_two_writes_are_made_both_or_neither)
+UNIT_TEST (test_two_writes_are_atomic)
 {
   ck_assert_int_eq (put ("b/head", "1", 0), PLATFORM_OK);
   uint64_t index = got.index;
@@ -232,14 +232,14 @@
                                  .wait_ms = 60000,
                                  .timeout_ms = TIMEOUT_MS };
   int replies = got.replies;
-  begin (&watch);
+  start_call (&watch);
   ck_assert_int_eq (put ("elsewhere", "x", 0), PLATFORM_OK);
   ck_assert_int_eq (got.replies, replies + 1);
   struct platform_write write = {
     .key = "c/x", .value = "two", .value_bytes = 3, .expect_index = index
   };
-  begin (&(struct platform_call)WRITE_CALL (&write, 1, TIMEOUT_MS));
-  ck_assert_int_eq (await (replies + 3), PLATFORM_OK);
+  start_call (&(struct platform_call)WRITE_CALL (&write, 1, TIMEOUT_MS));
+  ck_assert_int_eq (wait_replies (replies + 3), PLATFORM_OK);
   ck_assert_int_eq (read_key (PLATFORM_GET, "c/x"), PLATFORM_OK);
   ck_assert_str_eq (got.value, "two");
   char *text = metrics_print (metrics);
@@ -252,7 +252,7 @@
   ck_assert_uint_eq (got.index, watch.wait_index);
 }
 
-UNIT_TEST (test_hosts_appear_with_lag_and_faulty_ones_are_left_out)
+UNIT_TEST (test_hosts_appear_with_lag_and_invalid_ones_are_skipped)
 {
   put_host ("{\"ID\":\"bad\",\"Name\":\"savoryway\",\"Port\":\"x\"}");
   put_host ("{\"ID\":\"h1\",\"Name\":\"savoryway\",\"Address\":\"127.0.0.1\","
@@ -278,7 +278,7 @@
   ck_assert_uint_eq (got.hosts, 2);
 }
 
-UNIT_TEST (test_key_goes_when_its_lease_ends)
+UNIT_TEST (test_key_is_deleted_when_its_lease_ends)
 {
   struct platform_call lease
       = { .kind = PLATFORM_LEASE, .ttl_ms = 60000, .timeout_ms = TIMEOUT_MS };
@@ -299,7 +299,7 @@
   ck_assert_int_eq (run (&other), PLATFORM_NOT_FOUND);
 }
 
-UNIT_TEST (test_lost_answer_is_told_from_a_refusal)
+UNIT_TEST (test_lost_response_differs_from_a_refusal)
 {
   control ("/control?lose=1");
   ck_assert_int_eq (put ("e/x", "1", 0), PLATFORM_LOST);
@@ -318,10 +318,10 @@
   ck_assert_int_eq (read_key (PLATFORM_GET, "e/y"), PLATFORM_NOT_FOUND);
 }
 
-UNIT_TEST (test_refused_connection_is_without_effect)
+UNIT_TEST (test_refused_connection_has_no_effect)
 {
   consul_port_free (port);
-  /* A port that was just free: nothing listens there.  */
+  /* A port that was bound and closed again, so nothing listens on it.  */
   struct evhttp *http = evhttp_new (base);
   struct evhttp_bound_socket *bound
       = evhttp_bind_socket_with_handle (http, "127.0.0.1", 0);
@@ -357,9 +357,9 @@
                                  .wait_index = 1000000,
                                  .wait_ms = 60000,
                                  .timeout_ms = TIMEOUT_MS };
-  uint64_t waiting = begin (&watch);
+  uint64_t waiting = start_call (&watch);
   ck_assert_int_eq (read_key (PLATFORM_LIST, "h/"), PLATFORM_OK);
-  uint64_t queued = begin (&watch);
+  uint64_t queued = start_call (&watch);
   port->ops->cancel (port, waiting);
   port->ops->cancel (port, queued);
   ck_assert_int_eq (put ("h/x", "1", 0), PLATFORM_OK);
@@ -380,7 +380,7 @@
   ck_assert_int_eq (run (&late), PLATFORM_UNAVAILABLE);
 }
 
-UNIT_TEST (test_malformed_answers_count_as_no_answer)
+UNIT_TEST (test_malformed_responses_count_as_no_response)
 {
   static const char *const bodies[] = {
     "",
@@ -395,7 +395,7 @@
     "[{\"Key\":7,\"ModifyIndex\":1,\"Value\":null}]",
     "{\"ID\":\"\"}",
   };
-  struct kv_response answer;
+  struct kv_response response;
   for (size_t i = 0; i < sizeof bodies / sizeof bodies[0]; i++)
     for (int kind = PLATFORM_GET; kind <= PLATFORM_LEASE; kind++)
       {
@@ -404,24 +404,24 @@
         if (is_list
             || (kind == PLATFORM_HOSTS && body[0] == '[' && body[1] != '\0'))
           continue;
-        consul_response_parse (&answer, kind, 200, "x", body, strlen (body));
-        ck_assert_int_eq (answer.reply.status, kv_unanswered_status (kind));
-        ck_assert_uint_eq (answer.reply.item_count, 0);
-        kv_response_clear (&answer);
+        consul_response_parse (&response, kind, 200, "x", body, strlen (body));
+        ck_assert_int_eq (response.reply.status, kv_unanswered_status (kind));
+        ck_assert_uint_eq (response.reply.item_count, 0);
+        kv_response_clear (&response);
       }
-  consul_response_parse (&answer, PLATFORM_WRITE, 500, NULL, NULL, 0);
-  ck_assert_int_eq (answer.reply.status, PLATFORM_LOST);
-  consul_response_parse (&answer, PLATFORM_WRITE, 429, NULL, NULL, 0);
-  ck_assert_int_eq (answer.reply.status, PLATFORM_UNAVAILABLE);
-  consul_response_parse (&answer, PLATFORM_WRITE, 403, NULL, NULL, 0);
-  ck_assert_int_eq (answer.reply.status, PLATFORM_REJECTED);
+  consul_response_parse (&response, PLATFORM_WRITE, 500, NULL, NULL, 0);
+  ck_assert_int_eq (response.reply.status, PLATFORM_LOST);
+  consul_response_parse (&response, PLATFORM_WRITE, 429, NULL, NULL, 0);
+  ck_assert_int_eq (response.reply.status, PLATFORM_UNAVAILABLE);
+  consul_response_parse (&response, PLATFORM_WRITE, 403, NULL, NULL, 0);
+  ck_assert_int_eq (response.reply.status, PLATFORM_REJECTED);
 }
 
-#define DAMAGED_ANSWERS 20000
+#define CORRUPTED_RESPONSES 20000
 
-/* Answers with a few bytes changed are understood or not; a write never
-   counts as certainly without effect.  */
-UNIT_TEST (test_damaged_answers_never_do_harm)
+/* A response with a few corrupted bytes must either parse or count as no
+   response; a write must never be reported as without effect.  */
+UNIT_TEST (test_corrupted_responses_are_handled_safely)
 {
   static const char *const bodies[] = {
     [PLATFORM_GET] = "[{\"Key\":\"k\",\"ModifyIndex\":7,\"Value\":\"aGk=\"}]",
@@ -436,20 +436,20 @@
   };
   struct rng rng;
   rng_init (&rng, 5);
-  for (int i = 0; i < DAMAGED_ANSWERS; i++)
+  for (int i = 0; i < CORRUPTED_RESPONSES; i++)
     {
       enum platform_call_kind kind = rng_below (&rng, PLATFORM_LEASE + 1);
       char *body = mem_strdup (bodies[kind]);
       size_t length = strlen (body);
       for (uint64_t k = rng_below (&rng, 4) + 1; k > 0; k--)
         body[rng_below (&rng, length)] = (char)rng_below (&rng, 256);
-      struct kv_response answer;
-      consul_response_parse (&answer, kind, 200, "7", body,
+      struct kv_response response;
+      consul_response_parse (&response, kind, 200, "7", body,
                              rng_below (&rng, length + 1));
-      enum platform_status status = answer.reply.status;
+      enum platform_status status = response.reply.status;
       ck_assert (status == PLATFORM_OK
                  || status == kv_unanswered_status (kind));
-      kv_response_clear (&answer);
+      kv_response_clear (&response);
       free (body);
     }
 }
--- a/tests/unit/test_pg_faults.c
+++ b/tests/unit/test_pg_faults.c
@@ -5,7 +5,8 @@
 
 #define SLEEP "SELECT pg_sleep($1)"
 
-/* Clients of the stand-in; A is open on instance "a" in each test.  */
+/* Clients of the stand-in; each test starts with A connected to instance
+   "a".  */
 static struct client a, b, c;
 
 static void
@@ -22,7 +23,7 @@
     event_base_loop (base, EVLOOP_ONCE);
 }
 
-UNIT_TEST (test_death_before_commit_is_refused)
+UNIT_TEST (test_crash_before_commit_is_refused)
 {
   struct db_job job = get ("30", 0);
   job.statement = SLEEP;
@@ -44,7 +45,7 @@
   struct db_job job = get ("30", 0);
   job.statement = SLEEP;
   struct db_job next = put ("x", "r1", 1);
-  a.again = &next;
+  a.next_job = &next;
   submit (&a, &job);
   fault ("a", "die", 0);
   ck_assert_int_eq (wait_answer (&a), DB_LOST);
@@ -107,7 +108,7 @@
   ck_assert_int_eq (run (&c, follow (2, "b")), DB_OK);
   ck_assert (c.result.report.receiving && c.result.report.term == 2);
 
-  /* The isolated primary still takes writes of its own term.  */
+  /* The isolated primary still accepts writes of its own term.  */
   ck_assert_int_eq (run (&a, put ("lost", "r1", 1)), DB_OK);
   ck_assert_int_eq (run (&b, put ("kept", "r2", 2)), DB_OK);
   uint64_t lsn = b.result.report.received_lsn;
@@ -146,7 +147,7 @@
   ck_assert_int_eq (run (&a, put ("x", "r1", 5)), DB_OK);
 }
 
-UNIT_TEST (test_follow_gives_up_while_the_primary_is_away)
+UNIT_TEST (test_follow_fails_while_the_primary_is_unreachable)
 {
   open_instance (&b, "b");
   fault ("c", "die", 0);
@@ -156,7 +157,7 @@
 }
 
 static void
-spin (int rounds)
+run_loop (int rounds)
 {
   for (int i = 0; i < rounds; i++)
     {
@@ -165,7 +166,7 @@
     }
 }
 
-UNIT_TEST (test_a_seal_is_not_undone_by_an_older_order)
+UNIT_TEST (test_a_seal_is_not_undone_by_an_earlier_follow)
 {
   open_instance (&b, "b");
   for (int round = 0; round < 20; round++)
@@ -175,14 +176,14 @@
       struct db_job order = follow (term - 1, "a");
       open_instance (&c, "b");
       submit (&c, &order);
-      spin (round);
+      run_loop (round);
       submit (&b, &seal);
       if (round % 2 == 0)
         wait_answer (&c);
       port->ops->close (port, c.conn);
       ck_assert_int_eq (wait_answer (&b), DB_OK);
       uint64_t lsn = b.result.report.received_lsn;
-      spin (20);
+      run_loop (20);
       ck_assert_int_eq (run (&b, (struct db_job){ .kind = DB_STATUS }), DB_OK);
       ck_assert (!b.result.report.receiving);
       ck_assert_uint_eq (b.result.report.sealed_term, term);
@@ -190,8 +191,9 @@
     }
 }
 
-/* Writes once each under faults; what is reported must be what the database
-   holds, also after a lost answer was resolved by barring the id.  */
+/* Each write is submitted once under faults.  The reported outcome must match
+   the content of the database, also when the outcome of a lost write is
+   determined by reserving its request id.  */
 
 static int64_t
 value_of (struct client *client, const char *key)
@@ -204,14 +206,14 @@
 static int64_t
 resolve (struct client *client, const char *id)
 {
-  struct db_job bar
+  struct db_job claim
       = { .kind = DB_WRITE, .statement = "", .request_id = id, .term = 1 };
-  enum db_status status = run (client, bar);
+  enum db_status status = run (client, claim);
   ck_assert (status == DB_OK || status == DB_DUPLICATE);
   return status == DB_DUPLICATE;
 }
 
-UNIT_TEST (test_outcomes_are_true_under_faults)
+UNIT_TEST (test_reported_outcomes_match_the_database)
 {
   static char keys[120][16];
   int64_t expected[120];
@@ -226,7 +228,7 @@
         fault ("a", "drop_answer", 0);
       struct db_job job = put (keys[i], keys[i], 1);
       submit (&a, &job);
-      spin (rand_r (&seed) / 7 % 12);
+      run_loop (rand_r (&seed) / 7 % 12);
       if (kind == 2)
         fault ("a", "die", 0);
       if (kind == 3 && !a.closed)
@@ -253,8 +255,8 @@
   ck_assert_int_gt (refused, 5);
 }
 
-/* Servers that do not speak the protocol: each sends SEED's random bytes,
-   some after a well-formed greeting.  */
+/* A server that does not speak the protocol: it sends random bytes from SEED,
+   on every second connection after a well-formed greeting.  */
 
 static const char greeting[] = "R\0\0\0\10\0\0\0\0Z\0\0\0\5I";
 
@@ -269,8 +271,8 @@
 }
 
 static void
-on_noise (struct evconnlistener *listener, evutil_socket_t fd,
-          struct sockaddr *address, int length, void *arg)
+on_accept (struct evconnlistener *listener, evutil_socket_t fd,
+           struct sockaddr *address, int length, void *arg)
 {
   static unsigned count;
   unsigned *seed = arg;
@@ -287,14 +289,14 @@
   event_base_once (base, fd, EV_READ, on_startup, NULL, NULL);
 }
 
-UNIT_TEST (test_malformed_answers_end_the_connection)
+UNIT_TEST (test_malformed_messages_close_the_connection)
 {
   unsigned seed = 7;
   struct sockaddr_in sin
       = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t length = sizeof sin;
   struct evconnlistener *listener
-      = evconnlistener_new_bind (base, on_noise, &seed, LEV_OPT_CLOSE_ON_FREE,
+      = evconnlistener_new_bind (base, on_accept, &seed, LEV_OPT_CLOSE_ON_FREE,
                                  -1, (struct sockaddr *)&sin, sizeof sin);
   getsockname (evconnlistener_get_fd (listener), (struct sockaddr *)&sin,
                &length);
--- a/tests/unit/test_pg_port.c
+++ b/tests/unit/test_pg_port.c
@@ -6,7 +6,8 @@
 #define NO_ROW "{\"columns\":[\"v\"],\"rows\":[],\"affected\":0}"
 #define ONE_ROW "{\"columns\":[\"v\"],\"rows\":[[1]],\"affected\":1}"
 
-/* Clients of the stand-in; A is open on instance "a" in each test.  */
+/* Clients of the stand-in; each test starts with A connected to instance
+   "a".  */
 static struct client a, b, c;
 
 static void
@@ -77,7 +78,7 @@
   ck_assert_int_eq (run (&a, lookup ("r2", 1)), DB_NOT_FOUND);
 }
 
-UNIT_TEST (test_write_without_a_statement_bars_its_request_id)
+UNIT_TEST (test_write_without_a_statement_reserves_its_request_id)
 {
   struct db_job job = put ("x", "r1", 1);
   job.statement = "";
@@ -91,7 +92,7 @@
   ck_assert_uint_eq (a.result.payload_bytes, 0);
 }
 
-UNIT_TEST (test_same_id_waits_for_the_transaction_that_holds_it)
+UNIT_TEST (test_same_id_waits_for_the_transaction_that_uses_it)
 {
   struct db_job job = put ("x", "r1", 1);
   struct db_job find = lookup ("r1", 1);
@@ -139,7 +140,7 @@
   ck_assert_int_eq (run (&a, put ("x", "r1", 1)), DB_OK);
 }
 
-UNIT_TEST (test_too_large_result_is_an_error_without_effect)
+UNIT_TEST (test_result_over_the_limit_is_an_error_without_effect)
 {
   struct db_job job = get ("1000", 0);
   job.statement = SERIES;
@@ -154,7 +155,7 @@
   ck_assert_uint_gt (a.result.payload_bytes, 1000);
 }
 
-UNIT_TEST (test_far_too_large_result_closes_the_connection)
+UNIT_TEST (test_result_far_over_the_limit_closes_the_connection)
 {
   struct db_job job = get ("250000", 0);
   job.statement = SERIES;
--- a/tests/unit/test_rpc.c
+++ b/tests/unit/test_rpc.c
@@ -13,9 +13,9 @@
 
 #define LOOP_LIMIT 20000
 #define MALFORMED_RECORDS 10000
-#define RECORD_ROOM 4096
+#define RECORD_BUFFER_BYTES 4096
 
-/* Two hosts on one loop; the second answers.  */
+/* Two hosts on one event loop; host b handles the calls of host a.  */
 struct pair
 {
   struct event_base *base;
@@ -25,11 +25,11 @@
   struct peer_port *b;
   struct peer_address to_b;
   size_t handled;
-  uint64_t held; /* call that is not answered yet */
-  bool hold;
+  uint64_t pending_call; /* call without a reply so far */
+  bool withhold_reply;
   size_t done;
   enum peer_status status;
-  uint64_t pulled; /* config_revision of the last answer */
+  uint64_t reply_revision; /* config_revision of the last reply */
 };
 
 static struct pair pair;
@@ -46,13 +46,13 @@
 }
 
 static void
-answer (void *arg, uint64_t call, const peer_message *message)
+on_message (void *arg, uint64_t call, const peer_message *message)
 {
   (void)arg;
   pair.handled++;
-  if (pair.hold)
+  if (pair.withhold_reply)
     {
-      pair.held = call;
+      pair.pending_call = call;
       return;
     }
   peer_message reply
@@ -61,13 +61,13 @@
 }
 
 static void
-note_done (void *arg, enum peer_status status, const peer_message *reply)
+on_done (void *arg, enum peer_status status, const peer_message *reply)
 {
   (void)arg;
   pair.done++;
   pair.status = status;
   if (reply != NULL)
-    pair.pulled = reply->body.peer_body_u.pull.config_revision;
+    pair.reply_revision = reply->body.peer_body_u.pull.config_revision;
 }
 
 static struct peer_port *
@@ -93,7 +93,7 @@
   pair.metrics = metrics_new ();
   pair.a = open_port (secret, 0);
   pair.b = open_port (secret, 0);
-  pair.b->ops->set_handler (pair.b, answer, NULL);
+  pair.b->ops->set_handler (pair.b, on_message, NULL);
   strcpy (pair.to_b.name, "b");
   strcpy (pair.to_b.address, "127.0.0.1");
   pair.to_b.port = rpc_port_bound (pair.b);
@@ -113,11 +113,11 @@
 pair_call (uint64_t revision, clk_ms timeout_ms)
 {
   peer_message message = pull_message (revision);
-  return pair.a->ops->call (pair.a, &pair.to_b, &message, timeout_ms,
-                            note_done, NULL);
+  return pair.a->ops->call (pair.a, &pair.to_b, &message, timeout_ms, on_done,
+                            NULL);
 }
 
-/* Runs the loop until COUNT calls have ended.  */
+/* Runs the event loop until COUNT calls are done.  */
 static void
 pair_wait (size_t count)
 {
@@ -127,7 +127,7 @@
 }
 
 static int64_t
-counted (const char *name)
+counter (const char *name)
 {
   return *metrics_value (pair.metrics, name);
 }
@@ -139,8 +139,8 @@
   ck_assert_uint_eq (pair.done, 0);
   pair_wait (50);
   ck_assert_int_eq (pair.status, PEER_OK);
-  ck_assert_uint_eq (pair.pulled, 50);
-  ck_assert_int_eq (counted ("rpc_connections_opened_total"), 1);
+  ck_assert_uint_eq (pair.reply_revision, 50);
+  ck_assert_int_eq (counter ("rpc_connections_opened_total"), 1);
 }
 
 UNIT_TEST (test_a_wrong_secret_is_refused)
@@ -149,7 +149,8 @@
   pair.a = open_port (other_secret, 0);
   pair_call (1, 2000);
   pair_wait (1);
-  /* A denial can't be authentic, so it does not prove anything.  */
+  /* A denial is not authenticated, so it does not prove that the call was not
+     processed.  */
   ck_assert_int_eq (pair.status, PEER_LOST);
   ck_assert_uint_eq (pair.handled, 0);
 }
@@ -165,10 +166,10 @@
   ck_assert_uint_eq (pair.done, 1);
   pair_wait (2);
   ck_assert_int_eq (pair.status, PEER_UNREACHABLE);
-  ck_assert_int_eq (counted ("rpc_connection_failures_total"), 1);
-  /* Once the back-off is over, a restarted peer is found again.  */
+  ck_assert_int_eq (counter ("rpc_connection_failures_total"), 1);
+  /* After the backoff, calls reach the restarted peer.  */
   pair.b = open_port (secret, pair.to_b.port);
-  pair.b->ops->set_handler (pair.b, answer, NULL);
+  pair.b->ops->set_handler (pair.b, on_message, NULL);
   size_t calls = 2;
   while (pair.status != PEER_OK && calls < 1000)
     {
@@ -181,23 +182,23 @@
 
 UNIT_TEST (test_a_call_without_reply_times_out_and_its_late_reply_is_dropped)
 {
-  pair.hold = true;
+  pair.withhold_reply = true;
   pair_call (1, 30);
   pair_wait (1);
   ck_assert_int_eq (pair.status, PEER_TIMEOUT);
   ck_assert_uint_eq (pair.handled, 1);
   peer_message reply = pull_message (9);
-  pair.b->ops->reply (pair.b, pair.held, &reply);
-  pair.hold = false;
+  pair.b->ops->reply (pair.b, pair.pending_call, &reply);
+  pair.withhold_reply = false;
   pair_call (20, 2000);
   pair_wait (2);
-  ck_assert_uint_eq (pair.pulled, 21);
-  ck_assert_int_eq (counted ("rpc_late_replies_total"), 1);
+  ck_assert_uint_eq (pair.reply_revision, 21);
+  ck_assert_int_eq (counter ("rpc_late_replies_total"), 1);
 }
 
 UNIT_TEST (test_a_connection_closed_after_delivery_means_lost)
 {
-  pair.hold = true;
+  pair.withhold_reply = true;
   pair_call (1, 2000);
   while (pair.handled == 0)
     event_base_loop (pair.base, EVLOOP_ONCE);
@@ -207,13 +208,13 @@
   ck_assert_int_eq (pair.status, PEER_LOST);
 }
 
-UNIT_TEST (test_a_cancelled_call_reports_nothing)
+UNIT_TEST (test_a_cancelled_call_gets_no_callback)
 {
   uint64_t id = pair_call (1, 2000);
   pair.a->ops->cancel (pair.a, id);
   pair_call (5, 2000);
   pair_wait (1);
-  ck_assert_uint_eq (pair.pulled, 6);
+  ck_assert_uint_eq (pair.reply_revision, 6);
   ck_assert_uint_eq (pair.handled, 1);
 }
 
@@ -226,13 +227,13 @@
   executed->message = "";
   executed->payload.payload_len = 2 << 20;
   executed->payload.payload_val = mem_zalloc (2 << 20);
-  pair.a->ops->call (pair.a, &pair.to_b, &message, 2000, note_done, NULL);
+  pair.a->ops->call (pair.a, &pair.to_b, &message, 2000, on_done, NULL);
   pair_wait (1);
   ck_assert_int_eq (pair.status, PEER_UNREACHABLE);
   free (executed->payload.payload_val);
 }
 
-/* A connection whose bytes the test writes itself.  */
+/* Opens a connection to host b, to which the test writes bytes itself.  */
 static int
 raw_connect (void)
 {
@@ -249,7 +250,7 @@
 }
 
 static void
-pump (void)
+run_loop (void)
 {
   for (int i = 0; i < 4; i++)
     event_base_loop (pair.base, EVLOOP_NONBLOCK);
@@ -262,7 +263,7 @@
 {
   struct evbuffer *output = evbuffer_new ();
   rpc_call_write (output, secret, xid, version, PEER_CALL, body);
-  int size = evbuffer_remove (output, data, RECORD_ROOM);
+  int size = evbuffer_remove (output, data, RECORD_BUFFER_BYTES);
   ck_assert_int_gt (size, 0);
   evbuffer_free (output);
   return (size_t)size;
@@ -273,7 +274,7 @@
 {
   struct rpc_body body;
   peer_message message = pull_message (1);
-  ck_assert (rpc_body_encode (&body, &message, RECORD_ROOM));
+  ck_assert (rpc_body_encode (&body, &message, RECORD_BUFFER_BYTES));
   size_t size = build_call (data, xid, version, &body);
   free (body.data);
   return size;
@@ -282,49 +283,49 @@
 static struct rpc_reply_header
 raw_reply (int fd)
 {
-  uint8_t data[RECORD_ROOM];
-  struct rpc_reply_header head;
-  pump ();
+  uint8_t data[RECORD_BUFFER_BYTES];
+  struct rpc_reply_header header;
+  run_loop ();
   ssize_t size = recv (fd, data, sizeof data, MSG_DONTWAIT);
   ck_assert_int_gt (size, 4);
-  rpc_reply_read (secret, data + 4, (size_t)size - 4, &head);
-  head.body = NULL;
-  return head;
+  rpc_reply_read (secret, data + 4, (size_t)size - 4, &header);
+  header.body = NULL;
+  return header;
 }
 
-UNIT_TEST (test_an_unknown_version_is_told_the_known_ones)
+UNIT_TEST (test_an_unknown_version_is_answered_with_the_known_ones)
 {
-  uint8_t data[RECORD_ROOM];
+  uint8_t data[RECORD_BUFFER_BYTES];
   int fd = raw_connect ();
   size_t size = build_pull (data, 5, RPC_VERSION_HIGH + 1);
   ck_assert_int_eq (write (fd, data, size), (ssize_t)size);
-  struct rpc_reply_header head = raw_reply (fd);
-  ck_assert_int_eq (head.status, RPC_STATUS_VERSION);
-  ck_assert_uint_eq (head.version_high, RPC_VERSION_HIGH);
-  ck_assert_uint_eq (head.xid, 5);
+  struct rpc_reply_header header = raw_reply (fd);
+  ck_assert_int_eq (header.status, RPC_STATUS_VERSION);
+  ck_assert_uint_eq (header.version_high, RPC_VERSION_HIGH);
+  ck_assert_uint_eq (header.xid, 5);
   size = build_pull (data, 6, RPC_VERSION_HIGH);
   ck_assert_int_eq (write (fd, data, size), (ssize_t)size);
-  head = raw_reply (fd);
-  ck_assert_int_eq (head.status, RPC_STATUS_OK);
+  header = raw_reply (fd);
+  ck_assert_int_eq (header.status, RPC_STATUS_OK);
   close (fd);
 }
 
 UNIT_TEST (test_a_repeated_xid_is_handled_once)
 {
-  uint8_t data[RECORD_ROOM];
+  uint8_t data[RECORD_BUFFER_BYTES];
   int fd = raw_connect ();
   size_t size = build_pull (data, 7, RPC_VERSION_HIGH);
   for (int i = 0; i < 3; i++)
     ck_assert_int_eq (write (fd, data, size), (ssize_t)size);
-  pump ();
+  run_loop ();
   ck_assert_uint_eq (pair.handled, 1);
-  ck_assert_int_eq (counted ("rpc_duplicate_xids_total"), 2);
+  ck_assert_int_eq (counter ("rpc_duplicate_xids_total"), 2);
   close (fd);
 }
 
-UNIT_TEST (test_a_record_may_come_in_fragments_and_single_bytes)
+UNIT_TEST (test_a_record_may_arrive_in_fragments_and_single_bytes)
 {
-  uint8_t data[RECORD_ROOM];
+  uint8_t data[RECORD_BUFFER_BYTES];
   int fd = raw_connect ();
   size_t size = build_pull (data, 7, RPC_VERSION_HIGH);
   uint8_t first[4 + 16] = { 0, 0, 0, 16 };
@@ -336,31 +337,31 @@
     {
       ck_assert_uint_eq (pair.handled, 0);
       ck_assert_int_eq (write (fd, data + i, 1), 1);
-      pump ();
+      run_loop ();
     }
   ck_assert_uint_eq (pair.handled, 1);
   close (fd);
 }
 
-/* Turns an authentic record into one that must not be handled.  */
+/* Builds a record that must not reach the handler.  */
 static size_t
-malform (struct rng *rng, uint8_t *data, uint32_t xid)
+build_malformed (struct rng *rng, uint8_t *data, uint32_t xid)
 {
   size_t size = build_pull (data, xid, RPC_VERSION_HIGH);
   switch (rng_below (rng, 6))
     {
-    case 0: /* one bit anywhere behind the mark */
+    case 0: /* one bit flipped after the mark */
       data[4 + rng_below (rng, size - 4)]
           ^= (uint8_t)(1 << rng_below (rng, 8));
       break;
-    case 1: /* any mark */
+    case 1: /* random mark */
       for (size_t i = 0; i < 4; i++)
         data[i] = (uint8_t)rng_u64 (rng);
       break;
-    case 2: /* cut short */
+    case 2: /* truncated */
       size = 1 + rng_below (rng, size - 1);
       break;
-    case 3: /* noise throughout */
+    case 3: /* random bytes throughout */
       size = 4 + rng_below (rng, 600);
       for (size_t i = 0; i < size; i++)
         data[i] = (uint8_t)rng_u64 (rng);
@@ -368,12 +369,14 @@
     case 4: /* over the limit, or empty fragments */
       memset (data, rng_below (rng, 2) ? 0xff : 0x00, 4);
       break;
-    default: /* authentic, with a body of noise */
+    default: /* authentic, with a random body */
       {
-        uint8_t noise[300];
-        struct rpc_body body = { .data = noise, .size_bytes = sizeof noise };
-        for (size_t i = 0; i < sizeof noise; i++)
-          noise[i] = (uint8_t)rng_below (rng, rng_below (rng, 2) ? 4 : 256);
+        uint8_t random_bytes[300];
+        struct rpc_body body
+            = { .data = random_bytes, .size_bytes = sizeof random_bytes };
+        for (size_t i = 0; i < sizeof random_bytes; i++)
+          random_bytes[i]
+              = (uint8_t)rng_below (rng, rng_below (rng, 2) ? 4 : 256);
         size = build_call (data, xid, RPC_VERSION_HIGH, &body);
       }
     }
@@ -382,7 +385,7 @@
 
 UNIT_TEST (test_malformed_records_close_only_their_own_connection)
 {
-  uint8_t data[RECORD_ROOM];
+  uint8_t data[RECORD_BUFFER_BYTES];
   struct rng rng;
   rng_init (&rng, 20261204);
   pair_call (1, 2000);
@@ -390,21 +393,21 @@
   for (uint32_t i = 0; i < MALFORMED_RECORDS; i++)
     {
       int fd = raw_connect ();
-      size_t size = malform (&rng, data, i + 1);
+      size_t size = build_malformed (&rng, data, i + 1);
       if (write (fd, data, size) < 0)
         ck_assert_int_eq (errno, ECONNRESET);
       event_base_loop (pair.base, EVLOOP_NONBLOCK);
       event_base_loop (pair.base, EVLOOP_NONBLOCK);
       close (fd);
     }
-  pump ();
+  run_loop ();
   ck_assert_uint_eq (pair.handled, 1);
-  ck_assert_int_gt (counted ("rpc_bad_records_total"), 1000);
-  ck_assert_int_gt (counted ("rpc_incoming_refused_total"), 1000);
+  ck_assert_int_gt (counter ("rpc_bad_records_total"), 1000);
+  ck_assert_int_gt (counter ("rpc_incoming_refused_total"), 1000);
   pair_call (1, 2000);
   pair_wait (2);
   ck_assert_int_eq (pair.status, PEER_OK);
-  ck_assert_int_eq (counted ("rpc_connections_opened_total"), 1);
+  ck_assert_int_eq (counter ("rpc_connections_opened_total"), 1);
 }
 
 UNIT_MAIN ("rpc", .setup = pair_open, .teardown = pair_close, .timeout_s = 60)
