--- a/src/port/db_port.h
+++ b/src/port/db_port.h
@@ -22,7 +22,8 @@
 enum db_job_kind
 {
   DB_STATUS,   /* queries term, role and positions of the instance */
-  DB_READ,     /* status, then a statement in a read-only transaction */
+  DB_READ,     /* position check, a statement in a read-only transaction,
+                  status */
   DB_WRITE,    /* BEGIN, ledger row, statement, COMMIT, status; an empty
                   statement writes only the row, with an empty answer */
   DB_BEGIN,    /* opens an interactive transaction */
@@ -42,7 +43,7 @@
 {
   DB_OK,
   DB_SQL_ERROR, /* the statement failed and left no effect */
-  DB_REFUSED,   /* the job had no effect */
+  DB_REFUSED,   /* not executed: the job had no effect */
   DB_LOST,      /* the connection failed while the job ran; the job may have
                    taken effect */
   DB_NOT_FOUND, /* DB_LOOKUP: no such ledger row */
@@ -54,7 +55,7 @@
 
 struct db_target
 {
-  const char *address;
+  const char *address; /* an IP address */
   uint16_t port;
 };
 
--- a/src/port/pg_conn.h
+++ b/src/port/pg_conn.h
@@ -43,8 +43,8 @@
   PG_SET,
   PG_RELOAD,
   PG_PROMOTE,
-  PG_KICK,
-  PG_BUSY,
+  PG_END_SESSIONS,
+  PG_ROLE_STATUS,
   PG_REJOIN,
   PG_QUERY_COUNT
 };
--- a/src/port/pg_role.c
+++ b/src/port/pg_role.c
@@ -27,7 +27,7 @@
                     const PGresult *res)
 {
   struct pg_role *role = &conn->role;
-  if (query != PG_BUSY || PQntuples (res) != 1 || PQnfields (res) < 5)
+  if (query != PG_ROLE_STATUS || PQntuples (res) != 1 || PQnfields (res) < 5)
     return;
   role->recovery = *PQgetvalue (res, 0, 0) == 't';
   role->sessions = strtoull (PQgetvalue (res, 0, 1), NULL, 10);
@@ -366,9 +366,9 @@
                    && conn->report.sealed_term >= conn->job.term;
   pg_batch_start (conn, after_poll);
   if (terminate)
-    add (conn, PG_KICK, PG_SQL_KICK);
+    add (conn, PG_END_SESSIONS, PG_SQL_END_SESSIONS);
   pg_batch_status (conn);
-  add (conn, PG_BUSY, PG_SQL_BUSY);
+  add (conn, PG_ROLE_STATUS, PG_SQL_ROLE_STATUS);
   pg_batch_send (conn);
 }
 
@@ -391,6 +391,6 @@
   pg_batch_start (conn, after_lock);
   add (conn, PG_LOCK, PG_SQL_LOCK);
   pg_batch_status (conn);
-  add (conn, PG_BUSY, PG_SQL_BUSY);
+  add (conn, PG_ROLE_STATUS, PG_SQL_ROLE_STATUS);
   pg_batch_send (conn);
 }
--- a/src/port/pg_sql.h
+++ b/src/port/pg_sql.h
@@ -91,7 +91,7 @@
 
 /* Terminates the proxy's other sessions that may not have applied the last
    reload.  */
-#define PG_SQL_KICK                                                           \
+#define PG_SQL_END_SESSIONS                                                   \
   "/*savoryway:kick*/ SELECT pg_terminate_backend(pid)"                       \
   " FROM pg_stat_activity WHERE usename = current_user"                       \
   " AND backend_type = 'client backend'"                                      \
@@ -100,7 +100,7 @@
 /* One row: whether the instance is a replica; number of the proxy's other
    sessions that may not have applied the last reload; whether a replication
    stream from a primary exists; address and port of that primary.  */
-#define PG_SQL_BUSY                                                           \
+#define PG_SQL_ROLE_STATUS                                                    \
   "/*savoryway:busy*/ SELECT pg_is_in_recovery(), (SELECT count(*) FROM "     \
   "pg_stat_activity"                                                          \
   " WHERE usename = current_user AND backend_type = 'client backend'"         \
--- a/src/port/platform_port.h
+++ b/src/port/platform_port.h
@@ -62,8 +62,7 @@
   PLATFORM_UNAVAILABLE, /* the call had no effect */
   PLATFORM_LOST,        /* no response; may have taken effect */
   PLATFORM_REJECTED,    /* malformed or too large; no effect */
-  PLATFORM_COMPACTED /* PLATFORM_WATCH: history after wait_index is discarded
-                      */
+  PLATFORM_COMPACTED    /* PLATFORM_WATCH: history no longer available */
 };
 
 struct platform_item
