--- a/src/proxy/caller_run.c
+++ b/src/proxy/caller_run.c
@@ -1,5 +1,5 @@
-/* Runs one statement of a session on an instance, and tries again elsewhere
-   what certainly did not run or may be repeated.  */
+/* Execution of one statement on an instance of its group.  A statement that
+   did not run, or that is repeatable, is tried on another instance.  */
 
 #include "proxy/caller_impl.h"
 
@@ -18,8 +18,7 @@
                                    - offsetof (struct caller, user));
 }
 
-/* Whether the statement must run on the primary.  A transaction that may
-   write can't be moved there later.  */
+/* A transaction that may write can't be moved to the primary later.  */
 bool
 caller_needs_leader (const struct caller *caller)
 {
@@ -29,7 +28,6 @@
   return caller_in_transaction (caller) && !caller->tx_read_only;
 }
 
-/* Whether the statement alone can be run again after it may have run.  */
 bool
 caller_is_repeatable (const struct caller *caller)
 {
@@ -41,9 +39,9 @@
 {
   struct kernel *kernel = caller_kernel (caller);
   backend_cancel (&caller->user);
-  group_cancel (&caller->waiter);
-  kernel_timer_cancel (kernel, &caller->again);
-  kernel_timer_cancel (kernel, &caller->deadline);
+  group_unsubscribe (&caller->waiter);
+  kernel_timer_cancel (kernel, &caller->retry_timer);
+  kernel_timer_cancel (kernel, &caller->deadline_timer);
   kernel_timer_cancel (kernel, &caller->slow);
   caller_remote_stop (caller);
   caller_drop_conn (caller);
@@ -59,18 +57,17 @@
     caller_fail (caller, caller_refusal (caller), "not run in time");
 }
 
-/* Waits for a primary or a sample.  */
 static void
-hold (struct caller *caller, const char *why)
+wait_for_group (struct caller *caller, const char *why)
 {
-  caller_hold (caller, why, CALLER_HOLD_MS);
+  caller_wait_for_group (caller, why, CALLER_GROUP_WAIT_MS);
 }
 
 static void
 mark_tried (struct caller *caller, const struct backend *backend)
 {
   struct run_request *run = &caller->run;
-  if (run->tried_count == CALLER_TRIES)
+  if (run->tried_count == CALLER_TRIED_LIMIT)
     return;
   text_copy (run->tried[run->tried_count++], NAME_BYTES,
              backend_entry (backend)->id);
@@ -87,11 +84,11 @@
   run->stage = RUN_CONNECTING;
   caller->user.priority = run->route.priority;
   caller->user.values_hash = caller->values.hash;
-  struct backend_conn *conn = backend_take (backend, &caller->user);
+  struct backend_conn *conn = backend_acquire (backend, &caller->user);
   if (conn != NULL)
     run_on (caller, conn);
   else
-    caller_queue_up (caller);
+    caller_enter_queue (caller);
 }
 
 static void
@@ -100,48 +97,50 @@
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
   struct backend *leader = group != NULL ? group_leader (group) : NULL;
-  run->has_floor = false;
-  run->proves = !caller_in_transaction (caller) && !run->writes;
+  run->has_min_position = false;
+  run->confirms_leader = !caller_in_transaction (caller) && !run->writes;
   if (leader == NULL || !backend_usable (leader))
     {
-      hold (caller, "no primary");
+      wait_for_group (caller, "no primary");
       return;
     }
   connect_to (caller, leader);
 }
 
-/* Sets what position a read must see; returns false if no sample covers
-   it.  */
+/* Sets the position that an instance must have applied to serve the read.
+   Returns false if no sample is recent enough.  */
 static bool
-find_floor (struct caller *caller, const struct group *group)
+set_min_position (struct caller *caller, const struct group *group)
 {
   struct run_request *run = &caller->run;
   clk_ms since_ms
       = caller_in_transaction (caller) ? caller->tx_begun_ms : run->arrived_ms;
   clk_ms not_before_ms
       = since_ms - run->route.max_staleness_ms + CALLER_STALENESS_MARGIN_MS;
-  /* Commits of the same caller's earlier connections, on any host, precede
-     this session.  */
+  /* Commits of earlier sessions of the same caller, on any host, were
+     acknowledged before this session was opened.  */
   if (run->route.kind == ROUTE_SESSION && caller->opened_ms > not_before_ms)
     not_before_ms = caller->opened_ms;
-  if (!samples_floor (group_samples (group), not_before_ms, &run->floor))
+  if (!samples_floor (group_samples (group), not_before_ms,
+                      &run->min_position))
     return false;
-  if (position_compare (caller->own, run->floor) > 0
+  if (position_compare (caller->own, run->min_position) > 0
       && !MUTANT (forget_own_commit))
-    run->floor = caller->own;
-  run->has_floor = true;
+    run->min_position = caller->own;
+  run->has_min_position = true;
   return true;
 }
 
-/* After all instances lacked the position: it may be one that a promotion
-   rolled back, which the newest sample covers.  */
+/* Raises the position after all instances refused it as not applied.
+   A promotion may have discarded it; then a sample of the new term replaces
+   it.  */
 static void
-raise_floor (struct caller *caller, struct group *group)
+raise_min_position (struct caller *caller, struct group *group)
 {
   struct run_request *run = &caller->run;
   struct position newest = samples_newest (group_samples (group));
-  if (newest.term > run->floor.term)
-    run->floor = newest;
+  if (newest.term > run->min_position.term)
+    run->min_position = newest;
   run->tried_count = 0;
 }
 
@@ -150,45 +149,45 @@
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
-  run->proves = false;
+  run->confirms_leader = false;
   if (group == NULL)
     {
-      hold (caller, "no instance");
+      wait_for_group (caller, "no instance");
       return;
     }
-  if (!run->has_floor && !find_floor (caller, group))
+  if (!run->has_min_position && !set_min_position (caller, group))
     {
-      group_sample (group);
-      hold (caller, "no recent position");
+      group_request_sample (group);
+      wait_for_group (caller, "no recent position");
       return;
     }
   struct backend *backend
-      = group_pick (group, run->floor, (const char (*)[NAME_BYTES])run->tried,
-                    run->tried_count);
+      = group_pick (group, run->min_position,
+                    (const char (*)[NAME_BYTES])run->tried, run->tried_count);
   if (backend != NULL)
     {
       connect_to (caller, backend);
       return;
     }
-  if (run->attempts >= 2 * CALLER_TRIES)
+  if (run->attempts >= 2 * CALLER_TRIED_LIMIT)
     {
       caller_fail (caller, caller_refusal (caller),
                    "no instance can serve it");
       return;
     }
-  if (!caller_queue_up (caller))
+  if (!caller_enter_queue (caller))
     return;
   run->attempts++;
-  raise_floor (caller, group);
-  group_await (group, &caller->waiter);
-  caller_wait (caller, CALLER_BUSY_WAIT_MS);
+  raise_min_position (caller, group);
+  group_subscribe (group, &caller->waiter);
+  caller_wait (caller, CALLER_BUSY_BACKOFF_MS);
 }
 
 static void
 dispatch (struct caller *caller)
 {
-  group_cancel (&caller->waiter);
-  kernel_timer_cancel (caller_kernel (caller), &caller->again);
+  group_unsubscribe (&caller->waiter);
+  kernel_timer_cancel (caller_kernel (caller), &caller->retry_timer);
   if (caller->conn != NULL)
     run_on (caller, caller->conn);
   else if (caller_remote_wanted (caller))
@@ -207,7 +206,7 @@
   const struct group *group = caller_group (caller);
   histogram_note (metrics->wait_ms[run->route.kind],
                   run->sent_ms - run->arrived_ms);
-  if (run->has_floor && group != NULL)
+  if (run->has_min_position && group != NULL)
     histogram_note (metrics->sample_age_ms,
                     run->sent_ms - samples_newest_ms (group_samples (group)));
 }
@@ -227,21 +226,23 @@
       statement.rest = run->rest;
       statement.text = NULL;
     }
-  bool use_floor = run->has_floor && !caller_in_transaction (caller)
-                   && !MUTANT (ignore_position);
+  bool send_min_position = run->has_min_position
+                           && !caller_in_transaction (caller)
+                           && !MUTANT (ignore_position);
   run->stage = RUN_SENT;
   run->sent_ms = caller_now (caller);
   note_sent (caller);
   if (run->writes && caller_in_transaction (caller))
     caller->tx_wrote = true;
-  conn_send (conn, STEP_MAIN, &statement, use_floor ? &run->floor : NULL);
-  if (run->proves)
+  conn_send (conn, STEP_MAIN, &statement,
+             send_min_position ? &run->min_position : NULL);
+  if (run->confirms_leader)
     conn_send (conn, STEP_END, &(struct statement){ .kind = STMT_ROLLBACK },
                NULL);
   if (caller_is_repeatable (caller))
     {
-      double usual_ms = backend_typical_ms (conn_backend (conn));
-      clk_ms slow_ms = (clk_ms)(CALLER_SLOW_RATIO * usual_ms);
+      double mean_ms = backend_mean_latency_ms (conn_backend (conn));
+      clk_ms slow_ms = (clk_ms)(CALLER_SLOW_FACTOR * mean_ms);
       caller_set_timer (caller, &caller->slow,
                         slow_ms > CALLER_SLOW_MS ? slow_ms : CALLER_SLOW_MS);
     }
@@ -256,10 +257,11 @@
   conn_send (
       caller->conn, STEP_BEGIN,
       &(struct statement){ .kind = plain ? STMT_BEGIN : STMT_BEGIN_READ },
-      plain ? NULL : &run->floor);
+      plain ? NULL : &run->min_position);
 }
 
-/* Brings CONN to where the statement can be sent, and sends it.  */
+/* Sets CONN up for the statement and sends it.  If the set-up needs answers
+   first, on_answered sends it.  */
 static void
 run_on (struct caller *caller, struct backend_conn *conn)
 {
@@ -268,7 +270,7 @@
   caller->conn = conn;
   run->stage = RUN_SETTING_UP;
   conn_set_up (conn, &caller->values, run->prepared_kind, run->shape);
-  run->begins = opens || run->proves;
+  run->begins = opens || run->confirms_leader;
   if (run->begins)
     send_begin (caller);
   if (conn_outstanding (conn) == 0)
@@ -281,16 +283,16 @@
   run_on (caller_of (user), conn);
 }
 
-/* Goes on after the instance refused BEGIN or a set-up step.  */
+/* Handles the refusal of BEGIN or of a set-up statement.  */
 static void
-set_up_refused (struct caller *caller, const struct answer *answer)
+handle_set_up_error (struct caller *caller, const struct answer *answer)
 {
   struct backend *backend = conn_backend (caller->conn);
   struct group *group = caller_group (caller);
   enum code code = answer->code;
   bool pinned = caller_in_transaction (caller) && !caller->run.begins;
   if (code == CODE_LAGGING && group != NULL)
-    group_behind (group, backend);
+    group_mark_behind (group, backend);
   caller_drop_conn (caller);
   if (pinned)
     caller_fail (caller, CODE_ABORTED, "the instance refused a value");
@@ -298,35 +300,37 @@
     caller_retry (caller, code_not_run (code) ? code : CODE_BUSY);
 }
 
-/* Learns from a statement that succeeded.  */
+/* Records the position of a statement that succeeded: as that of the
+   session's last commit, and as confirmation of the primary.  */
 static void
-learn (struct caller *caller, struct backend *backend,
-       const struct answer *answer)
+record_position (struct caller *caller, struct backend *backend,
+                 const struct answer *answer)
 {
   const struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
   bool commits = run->kind == STMT_COMMIT
                      ? caller->tx_wrote
                      : run->writes && !caller_in_transaction (caller);
-  /* An instance that lost the lead refuses statements of a plain
-     transaction, and writes.  */
-  bool proves = commits || run->proves
-                || (caller_in_transaction (caller) && !caller->tx_read_only
-                    && run->kind != STMT_COMMIT);
+  /* An instance that is no longer the primary refuses writes, and statements
+     of a transaction that is not read-only.  */
+  bool confirms_leader
+      = commits || run->confirms_leader
+        || (caller_in_transaction (caller) && !caller->tx_read_only
+            && run->kind != STMT_COMMIT);
   if (!answer->has_position || group == NULL)
     return;
   if (commits && position_compare (answer->position, caller->own) > 0)
     caller->own = answer->position;
-  if (proves)
-    group_proven (group, backend, answer->position, run->sent_ms);
+  if (confirms_leader)
+    group_confirm_leader (group, backend, answer->position, run->sent_ms);
 }
 
 static void
-main_succeeded (struct caller *caller, struct backend *backend,
+handle_success (struct caller *caller, struct backend *backend,
                 const struct answer *answer)
 {
   struct group *group = caller_group (caller);
-  learn (caller, backend, answer);
+  record_position (caller, backend, answer);
   if (group != NULL)
     admission_note_ran (group_admission (group, caller_needs_leader (caller)),
                         caller_now (caller));
@@ -342,19 +346,20 @@
   caller_finish (caller, answer);
 }
 
-/* A statement of a transaction that an instance answered with an error.  */
+/* Handles an error that an instance returned to a statement of a
+   transaction.  */
 static void
-tx_failed (struct caller *caller, const struct answer *answer)
+handle_tx_error (struct caller *caller, const struct answer *answer)
 {
   struct run_request *run = &caller->run;
   if (answer->state == TX_OPEN && answer->code == CODE_BUSY)
     {
-      /* The transaction stands and the statement did not run.  */
+      /* The transaction is still open, and the statement did not run.  */
       run->refusal = CODE_BUSY;
-      if (!caller_queue_up (caller))
+      if (!caller_enter_queue (caller))
         return;
       run->attempts++;
-      caller_wait (caller, CALLER_BUSY_WAIT_MS * (clk_ms)run->attempts);
+      caller_wait (caller, CALLER_BUSY_BACKOFF_MS * (clk_ms)run->attempts);
       return;
     }
   bool first = !caller->tx_ran && run->kind != STMT_COMMIT;
@@ -378,49 +383,51 @@
 }
 
 static void
-main_failed (struct caller *caller, struct backend *backend,
-             const struct answer *answer)
+handle_error (struct caller *caller, struct backend *backend,
+              const struct answer *answer)
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
   enum code code = answer->code;
   if (code == CODE_LAGGING && group != NULL)
-    group_behind (group, backend);
+    group_mark_behind (group, backend);
   if (code == CODE_READONLY && group != NULL)
-    group_refuted (group, backend);
+    group_reject_leader (group, backend);
   if (caller_in_transaction (caller))
     {
-      tx_failed (caller, answer);
+      handle_tx_error (caller, answer);
       return;
     }
   caller_drop_conn (caller);
   run->refusal = code;
   if (code == CODE_BUSY && caller_needs_leader (caller)
-      && !caller_queue_up (caller))
+      && !caller_enter_queue (caller))
     return;
   if (code_not_run (code)
       || (caller_is_repeatable (caller)
           && (code == CODE_FAILED || code == CODE_TIMEOUT)
-          && run->tried_count < CALLER_TRIES))
+          && run->tried_count < CALLER_TRIED_LIMIT))
     caller_retry (caller, code);
   else
     caller_finish (caller, answer);
 }
 
-/* Takes the answer to a plain BEGIN.  Returns false if the primary has not
-   applied its log yet; the statement then waits.  */
+/* Handles the answer to a BEGIN that was sent to the primary.  Returns false
+   if the primary has not applied its log yet; the statement then waits.  */
 static bool
-leader_covers (struct caller *caller, struct backend *backend,
-               const struct answer *answer)
+handle_begin (struct caller *caller, struct backend *backend,
+              const struct answer *answer)
 {
   struct group *group = caller_group (caller);
   if (group == NULL || !answer->has_position)
     return true;
-  group_proven (group, backend, answer->position, caller->run.begin_sent_ms);
-  if (group_covers (group, backend, answer->position))
+  group_confirm_leader (group, backend, answer->position,
+                        caller->run.begin_sent_ms);
+  if (group_leader_caught_up (group, backend, answer->position))
     return true;
   caller_drop_conn (caller);
-  caller_hold (caller, "the primary is catching up", CALLER_CATCH_UP_MS);
+  caller_wait_for_group (caller, "the primary is catching up",
+                         CALLER_CATCH_UP_RETRY_MS);
   return false;
 }
 
@@ -439,29 +446,29 @@
       backend_note_latency (backend, caller_now (caller) - run->sent_ms,
                             answer->code == CODE_BUSY);
       if (answer->code == CODE_OK)
-        main_succeeded (caller, backend, answer);
+        handle_success (caller, backend, answer);
       else
-        main_failed (caller, backend, answer);
+        handle_error (caller, backend, answer);
       return;
     }
   if (run->stage != RUN_SETTING_UP)
     {
-      /* A value set between the statements of a transaction.  */
+      /* A SET that was sent between the statements of a transaction.  */
       if (answer->code != CODE_OK)
         {
           caller_drop_conn (caller);
           caller->tx = TX_FAILED;
-          caller->tx_untold = true;
+          caller->tx_failure_unreported = true;
         }
       return;
     }
   if (answer->code != CODE_OK)
     {
-      set_up_refused (caller, answer);
+      handle_set_up_error (caller, answer);
       return;
     }
   if (step == STEP_BEGIN && caller_needs_leader (caller)
-      && !leader_covers (caller, backend, answer))
+      && !handle_begin (caller, backend, answer))
     return;
   if (conn_outstanding (conn) == 0)
     send_main (caller);
@@ -476,13 +483,13 @@
   kernel_timer_cancel (caller_kernel (caller), &caller->slow);
   if (run->stage == RUN_NONE || run->stage == RUN_WAITING)
     {
-      /* Between the statements of a transaction.  */
+      /* No statement of the transaction is in flight.  */
       if (!caller_in_transaction (caller))
         return;
       if (run->stage == RUN_NONE)
         {
           caller->tx = TX_FAILED;
-          caller->tx_untold = true;
+          caller->tx_failure_unreported = true;
         }
       else
         caller_fail (caller, CODE_ABORTED, "connection lost");
@@ -503,21 +510,21 @@
     = { .granted = on_granted, .answered = on_answered, .lost = on_lost };
 
 static void
-on_again (void *arg)
+on_retry_timer (void *arg)
 {
   dispatch (arg);
 }
 
 static void
-on_wake (struct group_waiter *waiter)
+on_group_change (struct group_subscriber *waiter)
 {
   struct caller *caller
       = (struct caller *)(void *)((char *)waiter
                                   - offsetof (struct caller, waiter));
-  caller_set_timer (caller, &caller->again, 0);
+  caller_set_timer (caller, &caller->retry_timer, 0);
 }
 
-/* Gives up waiting for a read and tries another instance.  */
+/* Tries a read without an answer on another instance.  */
 static void
 on_slow (void *arg)
 {
@@ -532,9 +539,11 @@
 caller_run_init (struct caller *caller)
 {
   caller->user.ops = &user_ops;
-  caller->waiter.wake = on_wake;
-  caller->again = (struct ktimer){ .fire = on_again, .arg = caller };
-  caller->deadline = (struct ktimer){ .fire = on_deadline, .arg = caller };
+  caller->waiter.wake = on_group_change;
+  caller->retry_timer
+      = (struct ktimer){ .fire = on_retry_timer, .arg = caller };
+  caller->deadline_timer
+      = (struct ktimer){ .fire = on_deadline, .arg = caller };
   caller->slow = (struct ktimer){ .fire = on_slow, .arg = caller };
 }
 
@@ -543,7 +552,7 @@
 {
   struct run_request *run = &caller->run;
   const struct route *route
-      = caller_in_transaction (caller) || caller->guest
+      = caller_in_transaction (caller) || caller->forwarded
             ? &caller->tx_route
             : catalog_route (caller->callers->catalog, caller->database);
   if (route == NULL)
@@ -552,6 +561,6 @@
       return;
     }
   run->route = *route;
-  caller_set_timer (caller, &caller->deadline, route->timeout_ms);
+  caller_set_timer (caller, &caller->deadline_timer, route->timeout_ms);
   dispatch (caller);
 }
--- a/src/proxy/caller_wait.c
+++ b/src/proxy/caller_wait.c
@@ -1,4 +1,4 @@
-/* How the statement of a session waits, is tried again, or is given up.  */
+/* Waiting, retries and failure of the statement of a session.  */
 
 #include "proxy/caller_impl.h"
 
@@ -10,7 +10,7 @@
   struct backend_conn *conn = caller->conn;
   caller->conn = NULL;
   if (conn != NULL)
-    conn_give (conn);
+    conn_release (conn);
 }
 
 void
@@ -26,7 +26,8 @@
   bool commit = caller->run.kind == STMT_COMMIT;
   caller_metrics_refused (caller_metrics_of (caller), why);
   backend_cancel (&caller->user);
-  /* The transaction is ended on its instance first.  */
+  /* The transaction is ended on its instance before the caller gets the
+     answer.  */
   caller_remote_stop (caller);
   caller_drop_conn (caller);
   if (caller_in_transaction (caller))
@@ -34,7 +35,6 @@
   caller_finish_code (caller, code, why);
 }
 
-/* The code for a statement that did not run and will not.  */
 enum code
 caller_refusal (const struct caller *caller)
 {
@@ -44,12 +44,12 @@
   return code_not_run (code) && code != CODE_NOSTMT ? code : CODE_BUSY;
 }
 
-/* Ends the statement whose outcome on the instance is not known.  */
 void
 caller_fail_unknown (struct caller *caller, enum code code, const char *why)
 {
   const struct run_request *run = &caller->run;
-  /* Without COMMIT, or without a write, nothing can be kept.  */
+  /* Without a COMMIT, or without a write, nothing can have been
+     committed.  */
   if (caller_in_transaction (caller)
       && (run->kind != STMT_COMMIT || !caller->tx_wrote))
     code = CODE_ABORTED;
@@ -60,11 +60,8 @@
   caller_fail (caller, code, why);
 }
 
-/* Joins those that wait for a slot or a connection.  Returns false if the
-   statement would not be served in time: then it has been refused.
-   Transactions that have run already wait in any case.  */
 bool
-caller_queue_up (struct caller *caller)
+caller_enter_queue (struct caller *caller)
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
@@ -87,16 +84,15 @@
   return false;
 }
 
-/* Waits for SPAN_MS or a change of the group.  */
 void
 caller_wait (struct caller *caller, clk_ms span_ms)
 {
   caller->run.stage = RUN_WAITING;
-  caller_set_timer (caller, &caller->again, span_ms);
+  caller_set_timer (caller, &caller->retry_timer, span_ms);
 }
 
 static void
-log_hold (struct caller *caller, const char *why)
+log_group_wait (struct caller *caller, const char *why)
 {
   struct group *group = caller_group (caller);
   struct backend *leader = group != NULL ? group_leader (group) : NULL;
@@ -113,22 +109,22 @@
 }
 
 void
-caller_hold (struct caller *caller, const char *why, clk_ms wait_ms)
+caller_wait_for_group (struct caller *caller, const char *why, clk_ms wait_ms)
 {
   struct run_request *run = &caller->run;
   struct group *group = caller_group (caller);
   clk_ms now_ms = caller_now (caller);
-  if (caller->guest && !caller->may_wait)
+  if (caller->forwarded && !caller->may_wait)
     {
       caller_fail (caller, caller_refusal (caller), why);
       return;
     }
-  if (run->held_since_ms == CLK_NEVER)
+  if (run->group_wait_since_ms == CLK_NEVER)
     {
-      run->held_since_ms = now_ms;
-      log_hold (caller, why);
+      run->group_wait_since_ms = now_ms;
+      log_group_wait (caller, why);
     }
-  clk_ms left_ms = run->held_since_ms + CALLER_HOLD_MS - now_ms;
+  clk_ms left_ms = run->group_wait_since_ms + CALLER_GROUP_WAIT_MS - now_ms;
   if (groups_cut_off (caller->callers->groups))
     {
       caller_fail (caller, caller_refusal (caller), "this host is cut off");
@@ -139,11 +135,10 @@
       caller_fail (caller, caller_refusal (caller), why);
       return;
     }
-  group_await (group, &caller->waiter);
+  group_subscribe (group, &caller->waiter);
   caller_wait (caller, left_ms < wait_ms ? left_ms : wait_ms);
 }
 
-/* Goes on after an attempt that certainly did not run.  */
 void
 caller_retry (struct caller *caller, enum code code)
 {
@@ -155,13 +150,13 @@
              LOG_S ("instance", run->instance),
              LOG_U ("attempts", run->attempts),
              LOG_I ("spent_ms", kernel_now (kernel) - run->arrived_ms));
-  if (run->attempts > 3 * CALLER_TRIES)
+  if (run->attempts > 3 * CALLER_TRIED_LIMIT)
     {
       caller_fail (caller, caller_refusal (caller), "refused too often");
       return;
     }
   clk_ms wait_ms = 0;
   if (code == CODE_BUSY && caller_needs_leader (caller))
-    wait_ms = CALLER_BUSY_WAIT_MS * (clk_ms)run->attempts;
+    wait_ms = CALLER_BUSY_BACKOFF_MS * (clk_ms)run->attempts;
   caller_wait (caller, wait_ms);
 }
--- a/src/proxy/revisions.h
+++ b/src/proxy/revisions.h
@@ -1,10 +1,11 @@
-/* revisions - hosts that follow the store tell each other how much of it they
-   have seen.
+/* revisions - exchanges the latest known store revision between the hosts that
+   follow the store.
 
-   A watch may be lost by the store, or begin in a moment in which the store
-   forgets its history, and then wait without end; other hosts' watches tell.
-   For REVISIONS_TELL_FOR_MS after something new each host tells a few others,
-   drawn anew each time; in calm times none.
+   The store may lose a watch.  A watch may also begin just when the store
+   compacts its history, and then wait without end.  A host detects both by the
+   revisions of other hosts.  For REVISIONS_SEND_PERIOD_MS after a change each
+   host sends its revision every REVISIONS_SEND_INTERVAL_MS to REVISIONS_FANOUT
+   hosts chosen at random; without changes nothing is sent.
 
    Module name: "revisions".  */
 
@@ -13,10 +14,10 @@
 
 #include "kernel/kernel.h"
 
-#define REVISIONS_TELL_MS 400
-#define REVISIONS_TELL_FOR_MS 2400
+#define REVISIONS_SEND_INTERVAL_MS 400
+#define REVISIONS_SEND_PERIOD_MS 2400
 #define REVISIONS_FANOUT 2
-#define REVISIONS_CALL_MS 1000
+#define REVISIONS_CALL_TIMEOUT_MS 1000
 
 struct module *revisions_new (void);
 
