--- a/tests/unit/test_serve.c
+++ b/tests/unit/test_serve.c
@@ -202,7 +202,7 @@
 tear_down (void)
 {
   stop_host ();
-  standin_end (&fleet);
+  standin_stop (&fleet);
 }
 
 UNIT_TEST (test_session_reads_its_own_write)
