--- a/share/savoryway.bash
+++ b/share/savoryway.bash
@@ -1,4 +1,4 @@
-# bash completion for savoryway; the flags come from the program's own help.
+# Bash completion for savoryway.  `savoryway COMMAND --help' provides the flags.
 _savoryway ()
 {
   local current=${COMP_WORDS[COMP_CWORD]}
--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -22,7 +22,7 @@
   const char *user;
   const char *secret_file;
   const char *change_id;
-  int64_t index;
+  int64_t index; /* of --index, or NO_INDEX */
   bool json;
 };
 
@@ -38,7 +38,7 @@
 static const struct verb
 {
   const char *name;
-  size_t min; /* arguments */
+  size_t min; /* number of arguments after the verb */
   size_t max;
   int (*run) (struct input *input);
 } verbs[] = {
@@ -59,20 +59,20 @@
 
 static const char doc[]
     = "Read and change the configuration of teams.\v"
-      "PATH is the names from the team's subtree down, joined with '/'.  "
-      "VALUE is JSON; what is not JSON is taken as a string.  FILE is a "
-      "team's whole subtree as JSON; '-' is standard input.  `check' needs "
-      "no host.  The operator's secret comes from a file or "
-      "SAVORYWAY_OPERATOR_SECRET.  A change that may have been made is run "
-      "again with the same --change-id to learn its outcome.";
+      "PATH lists the names below the team's subtree, separated by '/'.  "
+      "VALUE is JSON; text that is not JSON is used as a string.  FILE is "
+      "the whole subtree of a team as JSON; '-' is standard input.  `check' "
+      "contacts no host.  The operator's secret is read from a file or from "
+      "SAVORYWAY_OPERATOR_SECRET.  If a change may have been made, repeat it "
+      "with the same --change-id to learn its outcome.";
 
 static const struct argp_option options[] = {
   { "json", 'j', NULL, 0, "Print the answer as JSON", 0 },
   { "user", 'u', "NAME", 0, "Operator [SAVORYWAY_OPERATOR]", 0 },
   { "secret-file", 'p', "FILE", 0, "File with the operator's secret", 0 },
   { "index", 'i', "N", 0,
-    "Change only if the team's index is still N, as `get' showed it", 0 },
-  { "change-id", 'c', "ID", 0, "Id of the change; default: a new one", 0 },
+    "Change only if the team's index is still N, as printed by `get'", 0 },
+  { "change-id", 'c', "ID", 0, "Id of the change (default: a random one)", 0 },
   { 0 },
 };
 
@@ -86,7 +86,7 @@
 }
 
 static void
-keep_index (struct input *input, char *arg, struct argp_state *state)
+parse_index (struct input *input, char *arg, struct argp_state *state)
 {
   char *end;
   input->index = strtoll (arg, &end, 10);
@@ -103,7 +103,7 @@
 }
 
 static error_t
-keep_option (int key, char *arg, struct argp_state *state)
+parse_option (int key, char *arg, struct argp_state *state)
 {
   struct input *input = state->input;
   switch (key)
@@ -124,7 +124,7 @@
       input->change_id = arg;
       return 0;
     case 'i':
-      keep_index (input, arg, state);
+      parse_index (input, arg, state);
       return 0;
     case ARGP_KEY_ARG:
       if (state->arg_num > ARGUMENTS_LIMIT)
@@ -142,23 +142,25 @@
     }
 }
 
-/* Returns the text of the file at PATH, or NULL after a message.  */
+/* Returns the text of the file at PATH and sets LENGTH in bytes; the caller
+   frees it.  Prints a message and returns NULL if there is none.  */
 static char *
 read_file (const char *path, size_t *length)
 {
   FILE *file = strcmp (path, "-") == 0 ? stdin : fopen (path, "re");
   char *text = NULL;
-  size_t room = 0;
-  ssize_t got = file != NULL ? getdelim (&text, &room, '\0', file) : -1;
+  size_t capacity = 0;
+  ssize_t read_bytes
+      = file != NULL ? getdelim (&text, &capacity, '\0', file) : -1;
   if (file == NULL || ferror (file))
     perror (path);
-  else if (got < 0)
-    fprintf (stderr, "%s: empty\n", path);
+  else if (read_bytes < 0)
+    fprintf (stderr, "%s: file is empty\n", path);
   if (file != NULL && file != stdin)
     fclose (file);
-  if (got >= 0)
+  if (read_bytes >= 0)
     {
-      *length = (size_t)got;
+      *length = (size_t)read_bytes;
       return text;
     }
   free (text);
@@ -193,13 +195,13 @@
   return secret;
 }
 
-/* Sends a request with the operator's credentials.  Returns the HTTP status;
-   0 if there was no answer.  */
+/* Sends a request with the operator's credentials and sets ANSWER, NULL if
+   there is no JSON.  Returns the HTTP status, 0 if there was no answer.  */
 static int
-ask (struct input *input, const char *method, const char *path,
-     const json_t *body, json_t **answer)
+send_request (struct input *input, const char *method, const char *path,
+              const json_t *body, json_t **answer)
 {
-  struct http_client_answer got;
+  struct http_client_answer response;
   char *secret = read_secret (input);
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : NULL;
   const struct http_client_request request = {
@@ -212,14 +214,14 @@
     .body = text,
     .body_bytes = text != NULL ? strlen (text) : 0,
   };
-  int failed = http_client_call (&request, &got);
+  int failed = http_client_call (&request, &response);
   *answer = NULL;
   if (failed)
-    fprintf (stderr, "savoryway: %s\n", got.error);
+    fprintf (stderr, "savoryway: %s\n", response.error);
   else
-    *answer = json_loadb (got.body, got.body_bytes, 0, NULL);
-  int status = got.status;
-  http_client_clear (&got);
+    *answer = json_loadb (response.body, response.body_bytes, 0, NULL);
+  int status = response.status;
+  http_client_clear (&response);
   if (secret != NULL)
     sodium_memzero (secret, strlen (secret));
   free (secret);
@@ -228,22 +230,24 @@
 }
 
 static char *
-query_path (const char *path, const char *team, const char *below)
+query_path (const char *path, const char *team, const char *subpath)
 {
-  char *team_text = command_encode (team);
-  char *below_text = command_encode (below);
-  char *whole = mem_printf ("%s?team=%s&path=%s", path, team_text, below_text);
+  char *team_text = command_uri_encode (team);
+  char *subpath_text = command_uri_encode (subpath);
+  char *whole
+      = mem_printf ("%s?team=%s&path=%s", path, team_text, subpath_text);
   free (team_text);
-  free (below_text);
+  free (subpath_text);
   return whole;
 }
 
-/* Asks for PATH and prints what comes with PRINT, or as JSON.  */
+/* Requests PATH and prints the answer with PRINT, or as JSON if --json was
+   given.  Returns an exit status.  */
 static int
 show (struct input *input, const char *path, void (*print) (const json_t *))
 {
   json_t *answer;
-  int code = ask (input, "GET", path, NULL, &answer);
+  int code = send_request (input, "GET", path, NULL, &answer);
   int status = config_exit_status (code);
   if (status != EXIT_OK)
     config_print_refusal (answer);
@@ -282,10 +286,11 @@
 static int
 run_status (struct input *input)
 {
-  return show (input, "/v1/revisions", config_print_shares);
+  return show (input, "/v1/revisions", config_print_revisions);
 }
 
-/* Sends CHANGE, whose reference is taken, and prints the outcome.  */
+/* Sends CHANGE and prints the outcome.  Takes over the reference to CHANGE.
+   Returns an exit status.  */
 static int
 submit (struct input *input, json_t *change)
 {
@@ -301,14 +306,15 @@
   json_object_set_new (change, "team", json_string (input->arguments[0]));
   if (input->index != NO_INDEX)
     json_object_set_new (change, "index", json_integer (input->index));
-  int code = ask (input, "POST", "/v1/config/change", change, &answer);
+  int code
+      = send_request (input, "POST", "/v1/config/change", change, &answer);
   int status = config_exit_status (code);
   if (input->json && answer != NULL)
     command_print_json (answer);
   else
     config_print_change (answer);
   if (status == EXIT_UNREACHABLE || status == EXIT_UNKNOWN)
-    fprintf (stderr, "savoryway: run it again with --change-id %s\n",
+    fprintf (stderr, "savoryway: repeat the command with --change-id %s\n",
              json_string_value (json_object_get (change, "change_id")));
   json_decref (answer);
   json_decref (change);
@@ -391,7 +397,7 @@
   struct argp_child children[]
       = { { settings_argp (SETTINGS_OPERATOR), 0, "Settings:", 0 }, { 0 } };
   const struct argp argp = { .options = options,
-                             .parser = keep_option,
+                             .parser = parse_option,
                              .args_doc = args_doc,
                              .doc = doc,
                              .children = children };
--- a/src/cli/cmd_config_print.c
+++ b/src/cli/cmd_config_print.c
@@ -49,8 +49,8 @@
     fprintf (stderr, "savoryway: %s\n", text_of (error, "text"));
 }
 
-/* The index goes to standard error, so that the tree can be kept in a file
-   and applied later with --index.  */
+/* The index goes to standard error, so that standard output can be saved to a
+   file and applied later with --index.  */
 void
 config_print_tree (const json_t *answer)
 {
@@ -79,7 +79,7 @@
 }
 
 void
-config_print_shares (const json_t *answer)
+config_print_revisions (const json_t *answer)
 {
   size_t i;
   json_t *share;
@@ -99,11 +99,11 @@
 }
 
 static void
-print_value (const char *mark, const json_t *value)
+print_value (const char *prefix, const json_t *value)
 {
   char *text
       = value ? json_dumps (value, JSON_COMPACT | JSON_ENCODE_ANY) : NULL;
-  printf (" %s%s", mark, text != NULL ? text : "nothing");
+  printf (" %s%s", prefix, text != NULL ? text : "nothing");
   free (text);
 }
 
--- a/src/cli/cmd_config_print.h
+++ b/src/cli/cmd_config_print.h
@@ -1,4 +1,6 @@
-/* cmd_config_print - what `savoryway config' prints.  */
+/* cmd_config_print - the output of `savoryway config'.
+
+   The ANSWER parameters are JSON answers of a host's operators' listener.  */
 
 #ifndef SAVORYWAY_CLI_CMD_CONFIG_PRINT_H
 #define SAVORYWAY_CLI_CMD_CONFIG_PRINT_H
@@ -7,18 +9,20 @@
 
 #include "core/view.h"
 
-/* Returns the exit status for an HTTP status of the host; 0 is no answer. */
+/* Returns the exit status for HTTP_STATUS of an answer; 0 if there was no
+   answer.  */
 int config_exit_status (int http_status);
 
-/* Answers of the host, each to standard output; faults to standard error.  */
+/* Each prints ANSWER to standard output and errors to standard error.
+   config_print_refusal prints the error of ANSWER, if it has one.  */
 void config_print_tree (const json_t *answer);
 void config_print_history (const json_t *answer);
-void config_print_shares (const json_t *answer);
+void config_print_revisions (const json_t *answer);
 void config_print_change (const json_t *answer);
 void config_print_refusal (const json_t *answer);
 
-/* Prints "PATH: TEXT" of each finding to standard error, or a JSON object to
-   standard output.  */
+/* Prints FINDINGS as lines "PATH: TEXT" to standard error, or if JSON as an
+   object to standard output.  */
 void config_print_findings (const struct findings *findings, bool json);
 
 #endif
--- a/src/cli/cmd_explain.c
+++ b/src/cli/cmd_explain.c
@@ -14,7 +14,7 @@
 };
 
 static error_t
-keep_option (int key, char *arg, struct argp_state *state)
+parse_option (int key, char *arg, struct argp_state *state)
 {
   struct input *input = state->input;
   switch (key)
@@ -47,15 +47,16 @@
     }
 }
 
-/* Appends NAME=VALUE to the query of PATH, which is replaced.  */
+/* Returns PATH with NAME=VALUE appended to its query, or PATH itself if VALUE
+   is NULL.  Takes over PATH.  */
 static char *
 add_query (char *path, const char *name, const char *value)
 {
   if (value == NULL)
     return path;
-  char *encoded = command_encode (value);
-  char joint = strchr (path, '?') == NULL ? '?' : '&';
-  char *longer = mem_printf ("%s%c%s=%s", path, joint, name, encoded);
+  char *encoded = command_uri_encode (value);
+  char separator = strchr (path, '?') == NULL ? '?' : '&';
+  char *longer = mem_printf ("%s%c%s=%s", path, separator, name, encoded);
   free (encoded);
   free (path);
   return longer;
@@ -78,16 +79,16 @@
       = { { "database", 'd', "NAME", 0, "Database of the service", 0 },
           { "kind", 'k', "NAME", 0, "Kind of request", 0 },
           { "session", 's', "TOKEN", 0, "Session token of the caller", 0 },
-          { "json", 'j', NULL, 0, "Print JSON, as is done always", 0 },
+          { "json", 'j', NULL, 0, "No effect: the answer is always JSON", 0 },
           { 0 } };
   struct argp_child children[]
       = { { settings_argp (SETTINGS_OPERATOR), 0, "Settings:", 0 }, { 0 } };
   struct argp argp = { .options = options,
-                       .parser = keep_option,
+                       .parser = parse_option,
                        .args_doc = "[TEAM/SERVICE]",
-                       .doc = "Show why a request would be routed where; "
-                              "nothing runs.\vOn the users' platform a "
-                              "database is enough.",
+                       .doc = "Show how a request would be routed, and why, "
+                              "without running it.\vOn the users' platform "
+                              "a database is enough.",
                        .children = children };
   struct input input = { 0 };
   struct settings settings;
@@ -95,7 +96,7 @@
   argp_parse (&argp, argc, argv, 0, NULL, &input);
   settings_from_flags (&settings, SETTINGS_OPERATOR, &input.source);
   char *path = build_path (&input);
-  int status = command_ask (&settings, "GET", path, NULL, &answer);
+  int status = command_request (&settings, "GET", path, NULL, &answer);
   if (status == EXIT_OK)
     command_print_json (answer);
   json_decref (answer);
--- a/src/cli/cmd_failover.c
+++ b/src/cli/cmd_failover.c
@@ -21,15 +21,15 @@
                                "release DATABASE";
 
 static const char doc[]
-    = "Show, order or forbid changes of primary.\v"
-      "DATABASE is TEAM/SERVICE/NAME, INSTANCE that with one more name.  "
-      "`order' moves the primary to INSTANCE, or to any other that has all "
-      "writes, after running writes have ended.  `hold' forbids changes that "
-      "nobody ordered until `release'.  `status' shows what the host asked "
-      "coordinates.";
+    = "Show, order or block changes of the primary.\v"
+      "DATABASE is TEAM/SERVICE/NAME; INSTANCE is the same followed by "
+      "/INSTANCE.  `order' moves the primary to INSTANCE, or to any other "
+      "instance that has all writes, after the writes in flight have ended.  "
+      "`hold' blocks automatic changes until `release'.  `status' shows the "
+      "databases that the queried host coordinates.";
 
 static error_t
-keep_option (int key, char *arg, struct argp_state *state)
+parse_option (int key, char *arg, struct argp_state *state)
 {
   struct input *input = state->input;
   switch (key)
@@ -61,26 +61,30 @@
   json_array_foreach (list, i, item)
   {
     json_int_t term = 0;
-    int hold = 0, suspected = 0, waits = 0;
+    int hold = 0, suspected = 0, waiting = 0;
     const char *database = "", *state = "", *primary = "", *promotion = "";
     json_unpack (item, "{s:s, s:I, s:s, s:s, s:b, s:b, s:s, s:b}", "database",
                  &database, "term", &term, "state", &state, "primary",
                  &primary, "hold", &hold, "suspected", &suspected, "promotion",
-                 &promotion, "waits_for_platform", &waits);
+                 &promotion, "waits_for_platform", &waiting);
     printf ("%s term %" JSON_INTEGER_FORMAT " %s primary %s%s%s", database,
             term, state, primary, hold ? " held" : "",
             suspected ? " suspected" : "");
     if (strcmp (promotion, "none") != 0)
       printf (" promotion %s", promotion);
-    puts (waits ? " (waits: the platform does not answer)" : "");
+    puts (waiting ? " (waiting: the platform does not answer)" : "");
   }
 }
 
+/* Sends a request and prints the answer: the lines of `status' if there is no
+   BODY, or else JSON.  Takes over the reference to BODY.  Returns an exit
+   status.  */
 static int
-ask (struct input *input, const char *method, const char *path, json_t *body)
+send_request (struct input *input, const char *method, const char *path,
+              json_t *body)
 {
   json_t *answer;
-  int status = command_ask (&input->settings, method, path, body, &answer);
+  int status = command_request (&input->settings, method, path, body, &answer);
   if (status == EXIT_OK && (input->json || body != NULL))
     command_print_json (answer);
   else if (status == EXIT_OK)
@@ -97,14 +101,14 @@
   const char *database = input->arguments[1];
   const char *target = input->arguments[2];
   if (strcmp (verb, "status") == 0 && input->count == 1)
-    return ask (input, "GET", "/v1/failover", NULL);
+    return send_request (input, "GET", "/v1/failover", NULL);
   if (strcmp (verb, "order") == 0 && input->count >= 2)
-    return ask (
+    return send_request (
         input, "POST", "/v1/failover/order",
         json_pack ("{s:s, s:s*}", "database", database, "target", target));
   bool hold = strcmp (verb, "hold") == 0;
   if ((hold || strcmp (verb, "release") == 0) && input->count == 2)
-    return ask (
+    return send_request (
         input, "POST", "/v1/failover/hold",
         json_pack ("{s:s, s:b}", "database", database, "hold", (int)hold));
   fprintf (stderr, "savoryway: failover %s\n", args_doc);
@@ -119,7 +123,7 @@
   struct argp_child children[]
       = { { settings_argp (SETTINGS_OPERATOR), 0, "Settings:", 0 }, { 0 } };
   struct argp argp = { .options = options,
-                       .parser = keep_option,
+                       .parser = parse_option,
                        .args_doc = args_doc,
                        .doc = doc,
                        .children = children };
--- a/src/cli/cmd_hash.c
+++ b/src/cli/cmd_hash.c
@@ -6,10 +6,11 @@
 
 #include "cli/command.h"
 
+/* Longest line on standard input, with its newline and final NUL.  */
 #define SECRET_LIMIT_BYTES 512
 
 static error_t
-no_option (int key, char *arg, struct argp_state *state)
+parse_no_option (int key, char *arg, struct argp_state *state)
 {
   (void)key;
   (void)arg;
@@ -21,9 +22,9 @@
 cmd_hash_main (int argc, char **argv)
 {
   static const struct argp argp
-      = { .parser = no_option,
-          .doc = "Print the secret_hash, for the configuration, of a secret "
-                 "read from standard input." };
+      = { .parser = parse_no_option,
+          .doc = "Read a secret from standard input and print its secret_hash "
+                 "for the configuration." };
   char secret[SECRET_LIMIT_BYTES];
   char hash[VIEW_SECRET_HASH_BYTES];
   uint8_t salt[VIEW_SALT_BYTES];
--- a/src/cli/cmd_man.c
+++ b/src/cli/cmd_man.c
@@ -3,7 +3,7 @@
 
 #include "cli/command.h"
 
-static const char *const head
+static const char *const page_start
     = ".TH SAVORYWAY 1 \"\" \"savoryway " SAVORYWAY_VERSION "\" \"User "
       "Commands\"\n"
       ".SH NAME\n"
@@ -17,29 +17,29 @@
       ".SH DESCRIPTION\n"
       "Each host runs\n"
       ".BR \"savoryway run\" .\n"
-      "The other commands ask a host: its operators' listener, or for\n"
+      "Commands that query a host use its operators' listener, or for\n"
       ".B query\n"
       "its callers' listener.\n"
       ".B savoryway COMMAND \\-\\-help\n"
-      "tells the flags of a command.\n"
+      "lists the flags of COMMAND.\n"
       ".SH SETTINGS\n"
       "Each is a flag of the commands in parentheses and an environment\n"
-      "variable; the flag goes first.\n";
+      "variable; the flag overrides it.\n";
 
-static const char *const tail
+static const char *const page_end
     = ".SH \"EXIT STATUS\"\n"
-      ".TP\n0\ndone\n"
-      ".TP\n1\nfailed, or requests were cut off at the end of a drain\n"
+      ".TP\n0\nsuccess\n"
+      ".TP\n1\nfailure, or requests were aborted at the end of the drain\n"
       ".TP\n2\nwrong usage or settings; nothing was done\n"
       ".TP\n3\nno answer from the host\n"
-      ".TP\n4\nquery: the statement was certainly not run\n"
-      ".TP\n5\nquery: the statement may have run; ask again with the same "
+      ".TP\n4\nquery: the statement was not run\n"
+      ".TP\n5\nquery: the statement may have run; repeat it with the same "
       "request id\n"
       ".SH SIGNALS\n"
       "SIGTERM and SIGINT start a graceful shutdown of a host; a second one\n"
-      "ends it at once.\n";
+      "ends it immediately.\n";
 
-/* Prints TEXT with what troff would take as its own escaped.  */
+/* Prints TEXT with the characters escaped that are special to troff.  */
 static void
 print_escaped (const char *text)
 {
@@ -83,9 +83,9 @@
   const struct setting *table = settings_table (&count);
   (void)argc;
   (void)argv;
-  fputs (head, stdout);
+  fputs (page_start, stdout);
   for (size_t i = 0; i < count; i++)
     print_setting (&table[i]);
-  fputs (tail, stdout);
+  fputs (page_end, stdout);
   return EXIT_OK;
 }
--- a/src/cli/cmd_query.c
+++ b/src/cli/cmd_query.c
@@ -6,7 +6,7 @@
 #include "core/entry.h"
 #include "kernel/mem.h"
 
-/* Beyond the deadline, for the way there and back.  */
+/* Time for the network round trip, added to the deadline of a statement.  */
 #define ANSWER_MARGIN_MS 5000
 
 struct input
@@ -21,7 +21,7 @@
 };
 
 static error_t
-keep_option (int key, char *arg, struct argp_state *state)
+parse_option (int key, char *arg, struct argp_state *state)
 {
   struct input *input = state->input;
   switch (key)
@@ -74,16 +74,16 @@
     }
 }
 
-/* Returns the first line of the file at PATH, or NULL.  */
+/* Returns the first line of the file at PATH, or NULL; the caller frees it. */
 static char *
 read_line (const char *path)
 {
   char *line = NULL;
-  size_t room = 0;
+  size_t capacity = 0;
   FILE *file = fopen (path, "re");
   if (file == NULL)
     return NULL;
-  if (getline (&line, &room, file) < 0)
+  if (getline (&line, &capacity, file) < 0)
     {
       free (line);
       line = NULL;
@@ -104,8 +104,8 @@
   return fclose (file) == 0 && ok;
 }
 
-/* The secret comes from a file or SAVORYWAY_CALLER_SECRET, never from the
-   command line.  */
+/* Returns the caller's secret; the caller frees it.  There is no flag for it,
+   since command lines are visible to other users.  */
 static char *
 read_secret (const struct input *input)
 {
@@ -114,7 +114,7 @@
   return mem_strdup (getenv (SETTINGS_PREFIX "CALLER_SECRET"));
 }
 
-/* Prints a value as psql would; NULL as nothing.  */
+/* Prints VALUE in the format of psql; NULL as an empty string.  */
 static void
 print_value (const json_t *value)
 {
@@ -177,9 +177,10 @@
 }
 
 static int
-handle_answer (const struct input *input, const struct http_client_answer *got)
+handle_answer (const struct input *input,
+               const struct http_client_answer *response)
 {
-  json_t *answer = json_loadb (got->body, got->body_bytes, 0, NULL);
+  json_t *answer = json_loadb (response->body, response->body_bytes, 0, NULL);
   int status = EXIT_FAILED;
   if (answer != NULL)
     {
@@ -187,9 +188,9 @@
       status = exit_status (answer);
     }
   else
-    fprintf (stderr, "savoryway: the host answered %d\n", got->status);
-  if (input->session_file != NULL && got->session != NULL
-      && !write_line (input->session_file, got->session))
+    fprintf (stderr, "savoryway: the host answered %d\n", response->status);
+  if (input->session_file != NULL && response->session != NULL
+      && !write_line (input->session_file, response->session))
     {
       perror (input->session_file);
       status = status == EXIT_OK ? EXIT_FAILED : status;
@@ -201,7 +202,7 @@
 static int
 send_statement (const struct input *input, const struct settings *settings)
 {
-  struct http_client_answer got;
+  struct http_client_answer response;
   char *secret = read_secret (input);
   char *session
       = input->session_file != NULL ? read_line (input->session_file) : NULL;
@@ -222,14 +223,14 @@
           .body_bytes = strlen (body),
           .timeout_ms = deadline_ms > 0 ? deadline_ms + ANSWER_MARGIN_MS : 0 };
   int status;
-  if (http_client_call (&request, &got) == 0)
-    status = handle_answer (input, &got);
+  if (http_client_call (&request, &response) == 0)
+    status = handle_answer (input, &response);
   else
     {
-      fprintf (stderr, "savoryway: %s\n", got.error);
+      fprintf (stderr, "savoryway: %s\n", response.error);
       status = EXIT_UNREACHABLE;
     }
-  http_client_clear (&got);
+  http_client_clear (&response);
   free (secret);
   free (session);
   free (body);
@@ -242,14 +243,18 @@
   static const struct argp_option options[] = {
     { "database", 'd', "NAME", 0, "Database of the service", 0 },
     { "kind", 'k', "NAME", 0, "Kind of request", 0 },
-    { "request-id", 'r', "ID", 0, "Id under which it runs at most once", 0 },
-    { "retry", 'R', NULL, 0, "An earlier request of this id may have run", 0 },
-    { "deadline-ms", 't', "N", 0, "Time in which it must finish", 0 },
+    { "request-id", 'r', "ID", 0,
+      "Request id, under which the statement runs at most once", 0 },
+    { "retry", 'R', NULL, 0, "An earlier request with this id may have run",
+      0 },
+    { "deadline-ms", 't', "N", 0, "Deadline of the statement in milliseconds",
+      0 },
     { "user", 'u', "NAME", 0, "Name of the caller", 0 },
     { "secret-file", 'p', "FILE", 0,
-      "File with the caller's secret; else SAVORYWAY_CALLER_SECRET", 0 },
+      "File with the caller's secret [SAVORYWAY_CALLER_SECRET]", 0 },
     { "session-file", 's', "FILE", 0,
-      "File from which the session token is taken, and to which it goes", 0 },
+      "File from which the session token is read and to which it is written",
+      0 },
     { "json", 'j', NULL, 0, "Print the answer as JSON", 0 },
     { 0 }
   };
@@ -257,12 +262,12 @@
       = { { settings_argp (SETTINGS_CALLER), 0, "Settings:", 0 }, { 0 } };
   struct argp argp
       = { .options = options,
-          .parser = keep_option,
+          .parser = parse_option,
           .args_doc = "TEAM/SERVICE STATEMENT [PARAMETER...]",
-          .doc = "Run one statement through a host.\vExit status: 0 done, 3 "
-                 "no answer from the host, 4 not run, 5 may have run, 1 and 2 "
-                 "as for all commands.  After 3 or 5, ask again with the same "
-                 "--request-id.",
+          .doc = "Run one statement through a host.\vExit status: 0 success, "
+                 "3 no answer from the host, 4 not run, 5 may have run, 1 and "
+                 "2 as for all commands.  After 3 or 5, repeat the statement "
+                 "with the same --request-id.",
           .children = children };
   struct input input
       = { .body = json_object (), .params = json_array (), .user = "caller" };
--- a/src/cli/cmd_run.c
+++ b/src/cli/cmd_run.c
@@ -8,8 +8,8 @@
   settings_from_arguments (
       &settings, SETTINGS_RUN,
       "Run a host.\vSIGTERM starts a graceful shutdown; a second "
-      "one ends at once.  Exit status: 0 after a graceful shutdown, "
-      "1 if requests were cut off or a listener could not be "
+      "one ends the host immediately.  Exit status: 0 after a graceful "
+      "shutdown, 1 if requests were aborted or a listener could not be "
       "opened, 2 for wrong settings.",
       argc, argv);
   int status = run_host (&settings);
--- a/src/cli/cmd_status.c
+++ b/src/cli/cmd_status.c
@@ -28,7 +28,7 @@
   command_parse (&input, SETTINGS_OPERATOR, "Show the state of one host.",
                  argc, argv);
   int status
-      = command_ask (&input.settings, "GET", "/v1/status", NULL, &answer);
+      = command_request (&input.settings, "GET", "/v1/status", NULL, &answer);
   if (status == EXIT_OK && input.json)
     command_print_json (answer);
   else if (status == EXIT_OK)
@@ -44,13 +44,13 @@
   struct operator_input input = { 0 };
   json_t *answer;
   command_parse (&input, SETTINGS_OPERATOR,
-                 "Begin the graceful shutdown of one host.", argc, argv);
+                 "Start the graceful shutdown of one host.", argc, argv);
   int status
-      = command_ask (&input.settings, "POST", "/v1/drain", NULL, &answer);
+      = command_request (&input.settings, "POST", "/v1/drain", NULL, &answer);
   if (status == EXIT_OK && input.json)
     command_print_json (answer);
   else if (status == EXIT_OK)
-    puts ("The host is draining; it ends when its requests are done.");
+    puts ("The host is draining; it exits when its requests have ended.");
   json_decref (answer);
   settings_clear (&input.settings);
   return status;
--- a/src/cli/cmd_topology.c
+++ b/src/cli/cmd_topology.c
@@ -83,8 +83,8 @@
   command_parse (&input, SETTINGS_OPERATOR,
                  "Show hosts, databases and gateways as one host sees them.",
                  argc, argv);
-  int status
-      = command_ask (&input.settings, "GET", "/v1/topology", NULL, &answer);
+  int status = command_request (&input.settings, "GET", "/v1/topology", NULL,
+                                &answer);
   if (status == EXIT_OK && input.json)
     command_print_json (answer);
   else if (status == EXIT_OK)
--- a/src/cli/cmd_trace.c
+++ b/src/cli/cmd_trace.c
@@ -14,7 +14,7 @@
     = { { "id", 'i', "ID", 0, "Id of the request", 0 }, { 0 } };
 
 static error_t
-parse (int key, char *arg, struct argp_state *state)
+parse_option (int key, char *arg, struct argp_state *state)
 {
   struct trace_input *input = state->input;
   switch (key)
@@ -31,46 +31,50 @@
     }
 }
 
-/* Copies the value of KEY in LINE to OUT; empty if there is none.  */
+/* Copies the value of KEY in LINE, without quotes, to OUT of SIZE bytes; an
+   empty string if LINE has no such key.  */
 static void
 read_field (const char *line, const char *key, char *out, size_t size)
 {
-  char *wanted = mem_printf (" %s=", key);
-  const char *at = strstr (line, wanted);
+  char *prefix = mem_printf (" %s=", key);
+  const char *value = strstr (line, prefix);
   out[0] = '\0';
-  if (at != NULL)
+  if (value != NULL)
     {
-      at += strlen (wanted);
-      const char *end = *at == '"' ? strchr (++at, '"') : NULL;
-      size_t length = end != NULL ? (size_t)(end - at) : strcspn (at, " \n");
-      snprintf (out, size, "%.*s", (int)length, at);
+      value += strlen (prefix);
+      const char *end = *value == '"' ? strchr (++value, '"') : NULL;
+      size_t length
+          = end != NULL ? (size_t)(end - value) : strcspn (value, " \n");
+      snprintf (out, size, "%.*s", (int)length, value);
     }
-  free (wanted);
+  free (prefix);
 }
 
-/* What a code tells the caller.  */
+/* Returns what CODE of an answer means for the request, as the end of a
+   sentence.  */
 static const char *
-meaning (const char *code)
+code_description (const char *code)
 {
   if (strcmp (code, "ok") == 0)
-    return "was served";
+    return "succeeded";
   if (strcmp (code, "indoubt") == 0 || strcmp (code, "timeout") == 0)
     return "may have run";
   if (strcmp (code, "failed") == 0)
     return "ran and failed";
   if (strcmp (code, "nodb") == 0)
-    return "named no database of the configuration";
-  return "left nothing";
+    return "named a database that is not configured";
+  return "had no effect";
 }
 
+/* Prints the outcome of request ID from LAST, its last log line.  */
 static void
-print_cause (const char *id, const char *last)
+print_outcome (const char *id, const char *last)
 {
-  char event[32], code[32], why[160], instance[NAME_BYTES], attempts[16];
+  char event[32], code[32], cause[160], instance[NAME_BYTES], attempts[16];
   char spent[16];
   read_field (last, "event", event, sizeof event);
   read_field (last, "code", code, sizeof code);
-  read_field (last, "why", why, sizeof why);
+  read_field (last, "why", cause, sizeof cause);
   read_field (last, "instance", instance, sizeof instance);
   read_field (last, "attempts", attempts, sizeof attempts);
   read_field (last, "spent_ms", spent, sizeof spent);
@@ -79,22 +83,22 @@
       char stage[32];
       read_field (last, "stage", stage, sizeof stage);
       printf (
-          "%s: the caller left after %s ms, while it was %s; last instance "
-          "%s\n",
+          "%s: the session was closed after %s ms, while the request was %s; "
+          "last instance %s\n",
           id, spent, stage, instance[0] != '\0' ? instance : "none");
       return;
     }
   if (strcmp (event, "answer") != 0)
     {
-      printf ("%s: no answer is logged; the last step was \"%s\"\n", id,
+      printf ("%s: no answer is logged; the last event is \"%s\"\n", id,
               event);
       return;
     }
   printf ("%s %s (%s) after %s ms and %s attempts; last instance %s%s%s\n", id,
-          meaning (code), code, spent, attempts,
+          code_description (code), code, spent, attempts,
           instance[0] != '\0' ? instance : "none",
-          strcmp (why, "-") != 0 ? "; cause: " : "",
-          strcmp (why, "-") != 0 ? why : "");
+          strcmp (cause, "-") != 0 ? "; cause: " : "",
+          strcmp (cause, "-") != 0 ? cause : "");
 }
 
 int
@@ -102,11 +106,11 @@
 {
   struct argp argp
       = { .options = options,
-          .parser = parse,
-          .doc = "Read logs of hosts from standard input, print the lines of "
-                 "one request in order and its cause in a sentence.\vPlain "
-                 "successes are not logged.  Exit status: 0 if the request "
-                 "was found, 1 if not." };
+          .parser = parse_option,
+          .doc = "Read logs of hosts from standard input and print the lines "
+                 "of one request, followed by its outcome and the cause.\v"
+                 "Requests that succeed on the first attempt are not logged.  "
+                 "Exit status: 0 if the request was found, 1 if not." };
   struct trace_input input = { 0 };
   char *line = NULL, *last = NULL;
   size_t size = 0;
@@ -122,9 +126,9 @@
       last = mem_strdup (line);
     }
   if (last != NULL)
-    print_cause (input.id, last);
+    print_outcome (input.id, last);
   else
-    printf ("%s: no line\n", input.id);
+    printf ("%s: no line found\n", input.id);
   int status = last != NULL ? EXIT_OK : EXIT_FAILED;
   free (last);
   free (line);
--- a/src/cli/command.c
+++ b/src/cli/command.c
@@ -8,7 +8,8 @@
 
 #include "kernel/mem.h"
 
-/* Prints what a host says about a request that it did not fulfil.  */
+/* Prints the error that the host returned; the raw body if that is not the
+   JSON of an error.  */
 static void
 report_refusal (const struct http_client_answer *answer, const json_t *body)
 {
@@ -19,10 +20,10 @@
 }
 
 int
-command_ask (const struct settings *settings, const char *method,
-             const char *path, json_t *body, json_t **answer)
+command_request (const struct settings *settings, const char *method,
+                 const char *path, json_t *body, json_t **answer)
 {
-  struct http_client_answer got;
+  struct http_client_answer response;
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : NULL;
   struct http_client_request request
       = { .method = method,
@@ -33,19 +34,20 @@
           .body_bytes = text != NULL ? strlen (text) : 0 };
   int status = EXIT_OK;
   *answer = NULL;
-  if (http_client_call (&request, &got) != 0)
+  if (http_client_call (&request, &response) != 0)
     {
-      fprintf (stderr, "savoryway: %s\n", got.error);
+      fprintf (stderr, "savoryway: %s\n", response.error);
       status = EXIT_UNREACHABLE;
     }
   else
-    *answer = json_loadb (got.body, got.body_bytes, JSON_DECODE_ANY, NULL);
-  if (status == EXIT_OK && (got.status >= 300 || *answer == NULL))
+    *answer = json_loadb (response.body, response.body_bytes, JSON_DECODE_ANY,
+                          NULL);
+  if (status == EXIT_OK && (response.status >= 300 || *answer == NULL))
     {
-      report_refusal (&got, *answer);
+      report_refusal (&response, *answer);
       status = EXIT_FAILED;
     }
-  http_client_clear (&got);
+  http_client_clear (&response);
   free (text);
   return status;
 }
@@ -58,7 +60,7 @@
 }
 
 char *
-command_encode (const char *text)
+command_uri_encode (const char *text)
 {
   char *encoded = evhttp_uriencode (text, -1, 0);
   return encoded != NULL ? encoded : mem_strdup ("");
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -1,4 +1,7 @@
-/* command - the subcommands of the program and what they share.  */
+/* command - the subcommands of the program and their shared functions.
+
+   main runs the function cmd_NAME_main of the subcommand NAME; its return
+   value is the exit status of the process.  */
 
 #ifndef SAVORYWAY_CLI_COMMAND_H
 #define SAVORYWAY_CLI_COMMAND_H
@@ -14,11 +17,11 @@
 enum
 {
   EXIT_OK = 0,
-  EXIT_FAILED = 1,         /* the host refused, or another failure */
-  EXIT_WRONG_SETTINGS = 2, /* usage or settings; nothing was done */
+  EXIT_FAILED = 1,         /* refused by the host, or any other failure */
+  EXIT_WRONG_SETTINGS = 2, /* wrong usage or settings; no effect */
   EXIT_UNREACHABLE = 3,    /* no answer from the host */
-  EXIT_NOT_RUN = 4,        /* query: certainly not run */
-  EXIT_UNKNOWN = 5         /* query: may have run */
+  EXIT_NOT_RUN = 4,        /* query: the statement was not run */
+  EXIT_UNKNOWN = 5         /* query: the statement may have run */
 };
 
 int cmd_run_main (int argc, char **argv);
@@ -36,27 +39,31 @@
 int cmd_man_main (int argc, char **argv);
 
 /* Sends one request to the operators' listener of SETTINGS and parses the
-   JSON answer.  Returns an exit status; ANSWER is to be released.  */
-int command_ask (const struct settings *settings, const char *method,
-                 const char *path, json_t *body, json_t **answer);
+   JSON answer.  BODY is NULL for none; its reference stays with the caller.
+   Returns an exit status and prints errors to standard error.  Sets ANSWER,
+   NULL if there is no JSON; the caller releases it.  */
+int command_request (const struct settings *settings, const char *method,
+                     const char *path, json_t *body, json_t **answer);
 
-/* Flags of a command that asks a host.  */
+/* Flags of a command that queries a host.  */
 struct operator_input
 {
   struct settings_source source;
   struct settings settings;
-  bool json;
+  bool json; /* print the answer as JSON */
 };
 
-/* Parses the flags of a command without arguments; settings of COMMANDS.
-   INPUT's settings are to be cleared.  */
+/* Parses the flags of a command that takes no arguments: --json and the
+   settings of COMMANDS (SETTINGS_... flags).  DOC is the help text.  Wrong
+   flags or settings end the process.  The caller clears INPUT's settings.  */
 void command_parse (struct operator_input *input, unsigned commands,
                     const char *doc, int argc, char **argv);
 
-/* Returns TEXT encoded for a query; the caller frees it.  */
-char *command_encode (const char *text);
+/* Returns TEXT percent-encoded for the query part of a URI; the caller frees
+   it.  */
+char *command_uri_encode (const char *text);
 
-/* Prints JSON to standard output, indented.  */
+/* Prints VALUE to standard output as indented JSON.  */
 void command_print_json (const json_t *value);
 
 #endif
--- a/src/main.c
+++ b/src/main.c
@@ -10,19 +10,20 @@
 {
   const char *name;
   int (*run) (int argc, char **argv);
-  const char *help; /* NULL: not listed */
+  const char *help; /* NULL if --help does not list it */
 } commands[] = {
   { "run", cmd_run_main, "run a host" },
   { "serve", cmd_serve_main, "run a host on the users' platform" },
   { "check-settings", cmd_check_settings_main,
-    "check the settings of serve, and run nothing" },
-  { "trace", cmd_trace_main, "tell from logs what became of a request" },
+    "check the settings of serve without running a host" },
+  { "trace", cmd_trace_main, "show the outcome of a request from logs" },
   { "status", cmd_status_main, "show the state of a host" },
-  { "drain", cmd_drain_main, "begin the graceful shutdown of a host" },
+  { "drain", cmd_drain_main, "start the graceful shutdown of a host" },
   { "failover", cmd_failover_main,
-    "show, order or forbid changes of primary" },
+    "show, order or block changes of the primary" },
   { "topology", cmd_topology_main, "show hosts, databases and gateways" },
-  { "explain", cmd_explain_main, "show why a request would be routed where" },
+  { "explain", cmd_explain_main,
+    "show how a request would be routed, and why" },
   { "config", cmd_config_main, "read and change the configuration" },
   { "query", cmd_query_main, "run one statement through a host" },
   { "hash", cmd_hash_main, "print the hash of a secret" },
@@ -42,17 +43,17 @@
   return NULL;
 }
 
-/* Runs the command named by the first argument; its name in messages is
-   "savoryway COMMAND".  */
+/* Stores the index of the command's name and stops, since all arguments after
+   it belong to the command.  */
 static error_t
-keep_command (int key, char *arg, struct argp_state *state)
+parse_command (int key, char *arg, struct argp_state *state)
 {
   int *first = state->input;
   switch (key)
     {
     case ARGP_KEY_ARG:
       if (find_command (arg) == NULL)
-        argp_error (state, "no command \"%s\"", arg);
+        argp_error (state, "unknown command \"%s\"", arg);
       *first = state->next - 1;
       state->next = state->argc;
       return 0;
@@ -78,9 +79,9 @@
         text = longer;
       }
   char *whole = mem_printf (
-      "%s\n`savoryway COMMAND --help' tells the flags of a command.  Exit "
-      "status: 0 done, 1 failed, 2 wrong usage or settings, 3 no answer from "
-      "the host, 4 not run, 5 may have run.",
+      "%s\n`savoryway COMMAND --help' lists the flags of a command.  Exit "
+      "status: 0 success, 1 failure, 2 wrong usage or settings, 3 no answer "
+      "from the host, 4 statement not run, 5 statement may have run.",
       text);
   free (text);
   return whole;
@@ -90,7 +91,7 @@
 main (int argc, char **argv)
 {
   int first = 0;
-  struct argp argp = { .parser = keep_command,
+  struct argp argp = { .parser = parse_command,
                        .args_doc = "COMMAND [FLAG...]",
                        .doc = list_commands () };
   argp_err_exit_status = EXIT_WRONG_SETTINGS;
@@ -99,6 +100,7 @@
   argp_parse (&argp, argc, argv, ARGP_IN_ORDER, NULL, &first);
   free ((char *)argp.doc);
   const struct command *command = find_command (argv[first]);
+  /* argp prints argv[0] as the name of the program in messages.  */
   char *name = mem_printf ("savoryway %s", command->name);
   argv[first] = name;
   int status = command->run (argc - first, argv + first);
--- a/tools/install-deps.sh
+++ b/tools/install-deps.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Installs what is missing of the build's packages; with "ci", also the
-# formatter and linter.  Does nothing when all are there or not run as root.
+# Installs the missing packages of the build; with the argument "ci" also those
+# of the formatter and the linter.  Without root it lists the missing ones and
+# fails.
 packages="gcc make pkg-config libevent-dev libpq-dev libjansson-dev
 libtirpc-dev libsodium-dev libxxhash-dev uthash-dev check libsubunit-dev"
 [ "${1:-}" = ci ] && packages="$packages clang clang-format clang-tidy rpcsvc-proto
