--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -234,11 +234,10 @@
 {
   char *team_text = command_uri_encode (team);
   char *subpath_text = command_uri_encode (subpath);
-  char *whole
-      = mem_printf ("%s?team=%s&path=%s", path, team_text, subpath_text);
+  char *uri = mem_printf ("%s?team=%s&path=%s", path, team_text, subpath_text);
   free (team_text);
   free (subpath_text);
-  return whole;
+  return uri;
 }
 
 /* Requests PATH and prints the answer with PRINT, or as JSON if --json was
--- a/src/cli/cmd_config_print.c
+++ b/src/cli/cmd_config_print.c
@@ -159,10 +159,10 @@
       if (!json)
         fprintf (stderr, "%s: %s\n", finding->path, finding->text);
     }
-  json_t *whole = json_pack ("{s:o}", "findings", list);
+  json_t *object = json_pack ("{s:o}", "findings", list);
   if (json)
-    command_print_json (whole);
+    command_print_json (object);
   else if (findings->count == 0)
     puts ("valid");
-  json_decref (whole);
+  json_decref (object);
 }
--- a/src/cli/cmd_config_print.h
+++ b/src/cli/cmd_config_print.h
@@ -9,12 +9,13 @@
 
 #include "core/view.h"
 
-/* Returns the exit status for HTTP_STATUS of an answer; 0 if there was no
-   answer.  */
+/* Returns the exit status for an answer with HTTP_STATUS, which is 0 if there
+   was no answer.  */
 int config_exit_status (int http_status);
 
 /* Each prints ANSWER to standard output and errors to standard error.
-   config_print_refusal prints the error of ANSWER, if it has one.  */
+   config_print_revisions prints the number and percentage of hosts that use
+   each revision, config_print_refusal the error of ANSWER if it has one.  */
 void config_print_tree (const json_t *answer);
 void config_print_history (const json_t *answer);
 void config_print_revisions (const json_t *answer);
--- a/src/cli/cmd_query.c
+++ b/src/cli/cmd_query.c
@@ -74,7 +74,7 @@
     }
 }
 
-/* Returns the first line of the file at PATH, or NULL; the caller frees it. */
+/* Returns the first line of file PATH, or NULL; the caller frees it.  */
 static char *
 read_line (const char *path)
 {
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -20,8 +20,8 @@
   EXIT_FAILED = 1,         /* refused by the host, or any other failure */
   EXIT_WRONG_SETTINGS = 2, /* wrong usage or settings; no effect */
   EXIT_UNREACHABLE = 3,    /* no answer from the host */
-  EXIT_NOT_RUN = 4,        /* query: the statement was not run */
-  EXIT_UNKNOWN = 5         /* query: the statement may have run */
+  EXIT_NOT_RUN = 4,        /* query, config: guaranteed not run */
+  EXIT_UNKNOWN = 5         /* query, config: may have run */
 };
 
 int cmd_run_main (int argc, char **argv);
--- a/tests/unit/test_process.c
+++ b/tests/unit/test_process.c
@@ -5,7 +5,7 @@
 #include "unit.h"
 
 #define SECRET "test-secret"
-#define REPLY_ROOM 65536
+#define REPLY_BYTES 65536
 #define STATEMENT                                                             \
   "{\"service\":\"bench/ledger\",\"kind\":\"read\","                          \
   "\"statement\":\"SELECT v FROM kv WHERE k = $1\",\"params\":[\"k\"]}"
@@ -16,7 +16,8 @@
 static uint16_t callers;
 static uint16_t operators;
 
-/* Starts one host with what it needs, and waits until it serves.  */
+/* Starts a host with stand-ins of the platform and the database, and waits
+   until it is ready.  */
 static void
 setup (void)
 {
@@ -75,14 +76,15 @@
   free (basic);
 }
 
-/* Reads one answer; returns its status, 0 if the connection closed.  */
+/* Reads one answer.  Returns its HTTP status, or 0 if the connection was
+   closed.  */
 static int
-caller_receive (int fd, char reply[REPLY_ROOM])
+caller_receive (int fd, char reply[REPLY_BYTES])
 {
   size_t used = 0;
-  while (used < REPLY_ROOM - 1)
+  while (used < REPLY_BYTES - 1)
     {
-      ssize_t got = read (fd, reply + used, REPLY_ROOM - 1 - used);
+      ssize_t got = read (fd, reply + used, REPLY_BYTES - 1 - used);
       if (got <= 0)
         return 0;
       used += (size_t)got;
@@ -96,15 +98,16 @@
   return 0;
 }
 
-/* Makes statements slow and sends one; returns once it is in flight.  */
+/* Slows down all statements and sends one.  Returns its connection once the
+   statement is in flight.  */
 static int
 send_slow_statement (void)
 {
-  char reply[REPLY_ROOM];
+  char reply[REPLY_BYTES];
   char *status = NULL;
   bool in_flight = false;
   int fd = caller_connect ();
-  do /* until the primary is known */
+  do /* repeat until the primary is known */
     caller_send (fd, STATEMENT);
   while (caller_receive (fd, reply) != 200);
   ck_assert_int_eq (host_ask (standin_port (&db, "control="), "POST", "/fault",
@@ -123,9 +126,9 @@
   return fd;
 }
 
-UNIT_TEST (test_a_graceful_shutdown_cuts_off_no_request)
+UNIT_TEST (test_graceful_shutdown_completes_requests_in_flight)
 {
-  static char reply[REPLY_ROOM];
+  static char reply[REPLY_BYTES];
   int fd = send_slow_statement ();
   int other = caller_connect ();
   kill (host.pid, SIGTERM);
@@ -143,9 +146,9 @@
   close (other);
 }
 
-UNIT_TEST (test_a_second_signal_ends_at_once)
+UNIT_TEST (test_second_signal_ends_the_host_immediately)
 {
-  static char reply[REPLY_ROOM];
+  static char reply[REPLY_BYTES];
   int fd = send_slow_statement ();
   kill (host.pid, SIGTERM);
   while (host_ask (operators, "GET", "/readyz", NULL, NULL) != 503)
@@ -156,7 +159,7 @@
   close (fd);
 }
 
-UNIT_TEST (test_operators_see_the_state_of_the_host)
+UNIT_TEST (test_operators_listener_reports_the_state_of_the_host)
 {
   static const struct
   {
@@ -198,7 +201,7 @@
   ck_assert_int_eq (host_wait (&host), 0);
 }
 
-UNIT_PLAIN (test_wrong_settings_start_nothing)
+UNIT_PLAIN (test_wrong_settings_open_no_listener)
 {
   static char text[HOST_OUTPUT_BYTES];
   char *argv[] = {
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -9,7 +9,7 @@
 #define KEY_B                                                                 \
   "ff0102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
-/* Environment of a test: names and values in turn.  */
+/* Environment of the test: pairs of name and value, ended by NULL.  */
 static const char *variables[32];
 
 static const char *
@@ -51,17 +51,17 @@
 }
 
 static bool
-has_finding (const struct findings *findings, const char *place,
+has_finding (const struct findings *findings, const char *path,
              const char *text)
 {
   for (size_t i = 0; i < findings->count; i++)
-    if (strcmp (findings->items[i].path, place) == 0
+    if (strcmp (findings->items[i].path, path) == 0
         && strstr (findings->items[i].text, text) != NULL)
       return true;
   return false;
 }
 
-UNIT_TEST (test_flags_go_before_variables_and_those_before_defaults)
+UNIT_TEST (test_flags_override_variables_and_variables_override_defaults)
 {
   struct settings_source source = { .variable = variable };
   struct settings settings;
@@ -88,7 +88,7 @@
   settings_clear (&settings);
 }
 
-UNIT_TEST (test_all_findings_are_reported_together_with_their_place)
+UNIT_TEST (test_all_findings_are_reported_with_their_source)
 {
   struct settings_source source = { .variable = variable };
   struct settings settings;
@@ -140,7 +140,7 @@
   settings_clear (&settings);
 }
 
-UNIT_TEST (test_the_table_is_sound)
+UNIT_TEST (test_settings_table_is_consistent)
 {
   size_t count;
   const struct setting *table = settings_table (&count);
@@ -148,7 +148,7 @@
   struct settings settings;
   struct findings findings = { 0 };
   memset (variables, 0, sizeof variables);
-  /* Commands need nothing, so this reads their defaults only.  */
+  /* These commands have no required settings, so all are set to defaults.  */
   ck_assert (settings_resolve (&settings, SETTINGS_OPERATOR | SETTINGS_CALLER,
                                &source, &findings));
   settings_clear (&settings);
@@ -172,7 +172,7 @@
   static const struct
   {
     const char *text;
-    const char *token; /* NULL: a finding */
+    const char *token; /* NULL if a finding is expected */
   } cases[] = { { "d2f-7\nrest\n", "d2f-7" },
                 { "\n", NULL },
                 { "two words\n", NULL } };
