--- a/src/main.c
+++ b/src/main.c
@@ -81,7 +81,7 @@
   char *doc = mem_printf (
       "%s\n`savoryway COMMAND --help' lists the flags of a command.  Exit "
       "status: 0 success, 1 failure, 2 wrong usage or settings, 3 no answer "
-      "from the host, 4 statement not run, 5 statement may have run.",
+      "from the host, 4 not run, 5 may have run.",
       text);
   free (text);
   return doc;
