--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -201,7 +201,7 @@
 send_request (struct input *input, const char *method, const char *path,
               const json_t *body, json_t **answer)
 {
-  struct http_client_answer response;
+  struct http_client_response response;
   char *secret = read_secret (input);
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : NULL;
   const struct http_client_request request = {
--- a/src/cli/cmd_query.c
+++ b/src/cli/cmd_query.c
@@ -178,7 +178,7 @@
 
 static int
 handle_answer (const struct input *input,
-               const struct http_client_answer *response)
+               const struct http_client_response *response)
 {
   json_t *answer = json_loadb (response->body, response->body_bytes, 0, NULL);
   int status = EXIT_FAILED;
@@ -202,7 +202,7 @@
 static int
 send_statement (const struct input *input, const struct settings *settings)
 {
-  struct http_client_answer response;
+  struct http_client_response response;
   char *secret = read_secret (input);
   char *session
       = input->session_file != NULL ? read_line (input->session_file) : NULL;
--- a/src/cli/command.c
+++ b/src/cli/command.c
@@ -11,7 +11,7 @@
 /* Prints the error that the host returned; the raw body if that is not the
    JSON of an error.  */
 static void
-report_refusal (const struct http_client_answer *answer, const json_t *body)
+report_refusal (const struct http_client_response *answer, const json_t *body)
 {
   const char *text = json_string_value (
       json_object_get (json_object_get (body, "error"), "text"));
@@ -23,7 +23,7 @@
 command_request (const struct settings *settings, const char *method,
                  const char *path, json_t *body, json_t **answer)
 {
-  struct http_client_answer response;
+  struct http_client_response response;
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : NULL;
   struct http_client_request request
       = { .method = method,
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -314,7 +314,7 @@
   fd = client_connect ();
   client_send_good (fd);
   ck_assert_int_eq (client_receive (fd), 200);
-  ck_assert_uint_eq (http_server_unsent (fixture.server), 0);
+  ck_assert_uint_eq (http_server_unsent_count (fixture.server), 0);
   close (fd);
 }
 
@@ -332,7 +332,7 @@
   while (fixture.submitted == 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
   complete_request ();
-  ck_assert (http_server_full (fixture.server));
+  ck_assert (http_server_overloaded (fixture.server));
   fixture.answer.payload_bytes = 2;
   /* While the server is full of unsent answers, it refuses requests before
      they run.  */
@@ -342,7 +342,7 @@
   ck_assert_ptr_nonnull (strstr (reply, "Retry-After: 1"));
   ck_assert_ptr_nonnull (strstr (reply, "\"overload\""));
   fixture.clk.now_ms += 1000;
-  while (http_server_unsent (fixture.server) > 0)
+  while (http_server_unsent_count (fixture.server) > 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
   client_send_good (other);
   ck_assert_int_eq (client_receive (other), 200);
@@ -429,7 +429,7 @@
     {
       char body[sizeof good];
       struct caller_request request;
-      struct caller_fault fault;
+      struct caller_request_error fault;
       memcpy (body, good, sizeof good);
       size_t length = 1 + rng_below (&rng, sizeof good - 1);
       for (size_t j = rng_below (&rng, 4); j > 0; j--)
@@ -441,7 +441,7 @@
                                     .body_bytes = length };
       if (!caller_request_read (&request, &input, &fault))
         {
-          char *text = caller_fault_print (&fault);
+          char *text = caller_request_error_print (&fault);
           json_t *parsed = json_loads (text, 0, NULL);
           ck_assert_ptr_nonnull (parsed);
           json_decref (parsed);
@@ -478,16 +478,16 @@
       int unknown = statuses[reason].unknown;
       ck_assert_int_eq (caller_answer_status (&answer),
                         unknown != 0 ? unknown : 504);
-      ck_assert_int_eq (caller_answer_retry_s (&answer), 0);
+      ck_assert_int_eq (caller_answer_retry_after_s (&answer), 0);
       answer.outcome = OUTCOME_NOT_RUN;
       int not_run = statuses[reason].not_run;
       ck_assert_int_eq (caller_answer_status (&answer),
                         not_run != 0 ? not_run : 503);
-      ck_assert_int_eq (caller_answer_retry_s (&answer), not_run == 0);
+      ck_assert_int_eq (caller_answer_retry_after_s (&answer), not_run == 0);
     }
   struct entry_answer answer
       = { .outcome = OUTCOME_NOT_RUN, .retry_after_ms = 1001 };
-  ck_assert_int_eq (caller_answer_retry_s (&answer), 2);
+  ck_assert_int_eq (caller_answer_retry_after_s (&answer), 2);
 }
 
 UNIT_MAIN ("http", .setup = setup, .teardown = teardown, .timeout_s = 30)
