--- a/share/savoryway.bash
+++ b/share/savoryway.bash
@@ -1,4 +1,4 @@
-# Bash completion for savoryway.  `savoryway COMMAND --help' provides the flags.
+# Bash completion for savoryway; flags come from `savoryway COMMAND --help'.
 _savoryway ()
 {
   local current=${COMP_WORDS[COMP_CWORD]}
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -429,7 +429,7 @@
     {
       char body[sizeof good];
       struct caller_request request;
-      struct caller_request_error fault;
+      struct caller_request_error error;
       memcpy (body, good, sizeof good);
       size_t length = 1 + rng_below (&rng, sizeof good - 1);
       for (size_t j = rng_below (&rng, 4); j > 0; j--)
@@ -439,13 +439,13 @@
                                     .authorization = "Basic YTpi",
                                     .body = body,
                                     .body_bytes = length };
-      if (!caller_request_read (&request, &input, &fault))
+      if (!caller_request_read (&request, &input, &error))
         {
-          char *text = caller_request_error_print (&fault);
+          char *text = caller_request_error_print (&error);
           json_t *parsed = json_loads (text, 0, NULL);
           ck_assert_ptr_nonnull (parsed);
           json_decref (parsed);
-          ck_assert_int_eq (fault.status, 400);
+          ck_assert_int_eq (error.status, 400);
           free (text);
           refused++;
         }
