--- a/share/savoryway.bash
+++ b/share/savoryway.bash
@@ -1,4 +1,4 @@
-# bash completion for savoryway; the flags come from the program's own help.
+# Bash completion for savoryway; flags come from `savoryway COMMAND --help'.
 _savoryway ()
 {
   local current=${COMP_WORDS[COMP_CWORD]}
