--- a/tests/fuzz/fuzz_core.c
+++ b/tests/fuzz/fuzz_core.c
@@ -1,13 +1,16 @@
-/* fuzz_core - drives the decision core through schedules of faults.
+/* fuzz_core - runs simulated hosts under schedules of requests and faults.
 
-   Built with -DFUZZ_ENGINE it is a libFuzzer target, otherwise a program:
+   A schedule is a sequence of bytes, taken from a file or drawn from a seed;
+   sim_run.h describes how it is run and checked.  Built with -DFUZZ_ENGINE
+   this is a libFuzzer target, otherwise a program:
 
      fuzz_core --seeds FIRST-LAST [--length BYTES] [--mutant NAME]
-     fuzz_core FILE...              replays inputs byte for byte
+     fuzz_core FILE...              runs the schedule in each file
 
-   With --mutant it stops at the first violation and exits 0 if there was
-   one; otherwise it exits 0 if there was none.  SIM_VERBOSE=1 prints the
-   schedule.  */
+   --mutant enables a deliberate fault of that name (see kernel/mutant.h).
+   The program then stops at the first violation and exits with 0 if there
+   was one; without --mutant it exits with 0 if there was none.  SIM_VERBOSE=1
+   in the environment prints the schedule.  */
 
 #include <argp.h>
 #include <inttypes.h>
@@ -20,6 +23,7 @@
 #include "kernel/mutant.h"
 #include "sim_run.h"
 
+/* Seed of the simulated delays for a schedule that comes from a file.  */
 #define FILE_SEED 1
 #define DEFAULT_LENGTH_BYTES 240
 #define FILE_LIMIT_BYTES 4096
@@ -44,14 +48,15 @@
   size_t violations;
 };
 
-static const struct argp_option options[]
-    = { { "seeds", 's', "FIRST-LAST", 0, "Run these seeds", 0 },
-        { "length", 'l', "BYTES", 0, "Length of a schedule", 0 },
-        { "mutant", 'm', "NAME", 0, "Expect this fault to be caught", 0 },
-        { 0 } };
+static const struct argp_option options[] = {
+  { "seeds", 's', "FIRST-LAST", 0, "Run all seeds from FIRST to LAST", 0 },
+  { "length", 'l', "BYTES", 0, "Length of each schedule", 0 },
+  { "mutant", 'm', "NAME", 0, "Enable this fault and expect a violation", 0 },
+  { 0 }
+};
 
 static size_t
-replay (const char *path)
+run_file (const char *path)
 {
   uint8_t bytes[FILE_LIMIT_BYTES];
   FILE *file = fopen (path, "rb");
@@ -66,7 +71,7 @@
 }
 
 static error_t
-parse (int key, char *text, struct argp_state *state)
+parse_option (int key, char *text, struct argp_state *state)
 {
   struct arguments *arguments = state->input;
   unsigned long long first, last;
@@ -85,7 +90,7 @@
       arguments->mutant = text;
       return 0;
     case ARGP_KEY_ARG:
-      arguments->violations += replay (text);
+      arguments->violations += run_file (text);
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -93,11 +98,12 @@
 }
 
 static const struct argp argp
-    = { .options = options, .parser = parse, .args_doc = "[FILE...]" };
+    = { .options = options, .parser = parse_option, .args_doc = "[FILE...]" };
 
-/* Returns 0 if some seed shows a violation.  */
+/* Runs the seeds until one shows a violation.  Returns the exit status: 0 if
+   there was a violation, 1 if not.  */
 static int
-hunt (const struct arguments *arguments)
+check_mutant (const struct arguments *arguments)
 {
   for (uint64_t seed = arguments->first; seed <= arguments->last; seed++)
     if (run_seed (seed, arguments->length) > 0)
@@ -121,9 +127,9 @@
 #ifdef MUTANTS
   mutant_active = arguments.mutant;
   if (arguments.mutant != NULL)
-    return hunt (&arguments);
+    return check_mutant (&arguments);
 #else
-  (void)hunt;
+  (void)check_mutant;
 #endif
   size_t failed = arguments.violations > 0;
   uint64_t count = 0;
--- a/tests/fuzz/fuzz_parsers.c
+++ b/tests/fuzz/fuzz_parsers.c
@@ -1,4 +1,4 @@
-/* fuzz_parsers - libFuzzer target for all that reads bytes from outside.  */
+/* fuzz_parsers - libFuzzer target for the parsers of external input.  */
 
 #include <sodium.h>
 
--- a/tests/fuzz/sim_callers.c
+++ b/tests/fuzz/sim_callers.c
@@ -1,3 +1,6 @@
+/* Simulated callers of a run: writes, transactions, reads and retries, whose
+   answers are checked by the oracle.  */
+
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -5,7 +8,7 @@
 #include "kernel/mem.h"
 #include "sim_run.h"
 
-/* A caller's request at a host, until it is answered.  */
+/* A request in flight at a host.  */
 struct run_call
 {
   struct run_call *prev;
@@ -15,12 +18,12 @@
   size_t session;
   struct oracle_write *write;
   enum entry_action action;
-  enum freshness freshness; /* of a read */
+  enum freshness freshness; /* set for a read */
   bool read;
   clk_ms sent_ms;
-  int puts; /* done in the transaction */
+  int puts; /* completed in the transaction */
   bool retry;
-  bool before_drain;
+  bool before_drain; /* submitted before the host started to drain */
   char transaction[512];
 };
 
@@ -58,13 +61,13 @@
 }
 
 static bool
-available (struct run *run, size_t host, size_t session)
+can_submit (struct run *run, size_t host, size_t session)
 {
   return run->sim.hosts[host].alive && !run->sessions[session].busy;
 }
 
 static void
-take_token (struct run_call *call, const struct entry_answer *answer)
+update_token (struct run_call *call, const struct entry_answer *answer)
 {
   struct run_session *session = &call->run->sessions[call->session];
   if (answer->reason == REASON_TOKEN_AHEAD)
@@ -76,7 +79,7 @@
     snprintf (session->token, sizeof session->token, "%s", answer->token);
   if (answer->reason == REASON_BAD_TOKEN)
     oracle_violation (&call->run->oracle, PROMISE_OWN_WORK,
-                      "a token of ours was refused");
+                      "a valid session token was refused");
 }
 
 static void
@@ -88,15 +91,16 @@
   run->oracle.checked[PROMISE_DRAIN]++;
   if (answer->reason == REASON_DRAINING)
     oracle_violation (&run->oracle, PROMISE_DRAIN,
-                      "a request taken before the drain was refused by it");
+                      "a request accepted before the drain was refused");
 }
 
 static void submit (struct run_call *call, const char *statement,
                     const char *const *params, size_t count);
 
-/* The steps of a transaction: begin, two puts, commit.  */
+/* Submits the next step of a transaction: begin, two puts, commit.  Returns
+   false if the transaction is over or CALL is no part of one.  */
 static bool
-next_in_transaction (struct run_call *call, const struct entry_answer *answer)
+continue_transaction (struct run_call *call, const struct entry_answer *answer)
 {
   struct oracle_write *write = call->write;
   const char *first[] = { write->key, write->value };
@@ -124,23 +128,24 @@
 }
 
 static void
-write_answered (struct run_call *call, const struct entry_answer *answer)
+check_write_answer (struct run_call *call, const struct entry_answer *answer)
 {
   struct run *run = call->run;
-  struct entry_answer told = *answer;
+  struct entry_answer checked = *answer;
   bool open = call->action == ENTRY_BEGIN || call->action == ENTRY_EXECUTE;
-  /* Before its commit a transaction certainly has no effect.  */
+  /* A transaction that failed before its commit has no effect.  */
   if (open)
     {
-      told.outcome = OUTCOME_NOT_RUN;
-      told.request_id = call->write->request_id;
+      checked.outcome = OUTCOME_NOT_RUN;
+      checked.request_id = call->write->request_id;
     }
-  oracle_write_answered (&run->oracle, call->write, &told, run->sim.clk.now_ms,
-                         run->instances, SIM_INSTANCES, run_primary (run));
+  oracle_write_answered (&run->oracle, call->write, &checked,
+                         run->sim.clk.now_ms, run->instances, SIM_INSTANCES,
+                         run_primary (run));
 }
 
 static void
-answered (void *arg, const struct entry_answer *answer)
+on_answer (void *arg, const struct entry_answer *answer)
 {
   struct run_call *call = arg;
   struct run *run = call->run;
@@ -149,12 +154,12 @@
             outcome_name (answer->outcome), reason_name (answer->reason),
             answer->message ? answer->message : "");
   check_drain (call, answer);
-  take_token (call, answer);
-  if (!call->read && next_in_transaction (call, answer))
+  update_token (call, answer);
+  if (!call->read && continue_transaction (call, answer))
     return;
   run->answered[answer->outcome]++;
   if (!call->read)
-    write_answered (call, answer);
+    check_write_answer (call, answer);
   else
     oracle_read_answered (&run->oracle, call->write, call->session, answer,
                           call->freshness == FRESHNESS_MAX_AGE
@@ -167,7 +172,7 @@
 }
 
 static const char *
-kind_of (const struct run_call *call)
+request_kind (const struct run_call *call)
 {
   if (!call->read)
     return call->write->primary_rule ? "note" : "release";
@@ -193,7 +198,7 @@
           .service = "dago/ledger",
           .caller = "captain",
           .secret = "secret",
-          .kind = kind_of (call),
+          .kind = request_kind (call),
           .statement = statement,
           .param_count = count,
           .params = params,
@@ -203,7 +208,7 @@
                        : NULL,
           .transaction = call->transaction[0] ? call->transaction : NULL,
           .retry = call->retry };
-  entry_submit (node_entry (run->hosts[call->host].node), &request, answered,
+  entry_submit (node_entry (run->hosts[call->host].node), &request, on_answer,
                 call);
 }
 
@@ -221,7 +226,7 @@
 void
 run_write (struct run *run, size_t host, size_t session)
 {
-  if (!available (run, host, session))
+  if (!can_submit (run, host, session))
     return;
   struct oracle_write *write = oracle_write_new (&run->oracle, session, false);
   if (write == NULL)
@@ -235,7 +240,7 @@
 void
 run_transaction (struct run *run, size_t host, size_t session)
 {
-  if (!available (run, host, session))
+  if (!can_submit (run, host, session))
     return;
   struct oracle_write *write = oracle_write_new (&run->oracle, session, true);
   if (write == NULL)
@@ -247,12 +252,13 @@
   submit (call, NULL, NULL, 0);
 }
 
-/* Retries the session's latest write with its request id.  */
+/* Retries the session's latest write outside a transaction, with the same
+   request id.  */
 void
 run_retry (struct run *run, size_t host, size_t session)
 {
   struct oracle *oracle = &run->oracle;
-  if (!available (run, host, session))
+  if (!can_submit (run, host, session))
     return;
   for (size_t i = oracle->write_count; i-- > 0;)
     {
@@ -268,15 +274,18 @@
     }
 }
 
+/* Reads the key of the write that was submitted OFFSET writes before the
+   latest one, in any session.  */
 static void
-read_back (struct run *run, size_t host, size_t session,
-           enum freshness freshness, size_t back)
+submit_read (struct run *run, size_t host, size_t session,
+             enum freshness freshness, size_t offset)
 {
   struct oracle *oracle = &run->oracle;
-  if (!available (run, host, session) || oracle->write_count == 0)
+  if (!can_submit (run, host, session) || oracle->write_count == 0)
     return;
-  back %= oracle->write_count;
-  struct oracle_write *write = &oracle->writes[oracle->write_count - 1 - back];
+  offset %= oracle->write_count;
+  struct oracle_write *write
+      = &oracle->writes[oracle->write_count - 1 - offset];
   const char *params[] = { write->key };
   struct run_call *call = call_new (run, host, session, write);
   run_note (run, "read %s host %zu session %zu %s", freshness_name (freshness),
@@ -291,18 +300,18 @@
 run_read (struct run *run, size_t host, size_t session,
           enum freshness freshness)
 {
-  read_back (run, host, session, freshness, run_byte (run));
+  submit_read (run, host, session, freshness, run_byte (run));
 }
 
 void
 run_read_latest (struct run *run, size_t host, size_t session,
                  enum freshness freshness)
 {
-  read_back (run, host, session, freshness, 0);
+  submit_read (run, host, session, freshness, 0);
 }
 
 void
-run_calls_broken (struct run *run, size_t host)
+run_calls_disconnect (struct run *run, size_t host)
 {
   struct run_call *next;
   for (struct run_call *call = run->calls; call != NULL; call = next)
@@ -311,7 +320,7 @@
       if (host != SIZE_MAX && call->host != host)
         continue;
       if (!call->read && call->write->state == WRITE_PENDING)
-        call->write->state = WRITE_CUT_OFF;
+        call->write->state = WRITE_DISCONNECTED;
       run->sessions[call->session].busy = false;
       unlink_call (call);
       free (call);
@@ -319,7 +328,7 @@
 }
 
 size_t
-run_calls_at (const struct run *run, size_t host)
+run_calls_count (const struct run *run, size_t host)
 {
   size_t count = 0;
   for (const struct run_call *c = run->calls; c != NULL; c = c->next)
--- a/tests/fuzz/sim_config.c
+++ b/tests/fuzz/sim_config.c
@@ -1,3 +1,6 @@
+/* Simulated operators of a run: the initial configuration, changes of it, and
+   the checks that accepted changes take effect.  */
+
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -46,19 +49,19 @@
                     "\"who\": \"clerk\", \"when_s\": 1}]}");
 }
 
-/* What the users grant: a change in force everywhere, and no new work for what
-   is leaving.  */
-#define IN_FORCE_MS 7000
-#define LEAVING_MS 3000
+/* Limits required of the system: an accepted change is in force on all hosts,
+   and an instance marked as leaving gets no new work.  */
+#define CONFIG_LIMIT_MS 7000
+#define LEAVING_LIMIT_MS 3000
 
-/* A change that an operator asked a host for.  */
+/* A change of the configuration, submitted by an operator and in flight.  */
 struct run_change
 {
   struct run_change *next;
   struct run *run;
   size_t host;
-  uint32_t weight;          /* 0: another setting is changed */
-  uint64_t revision_before; /* accepted when this one was asked for */
+  uint32_t weight;          /* 0 if it changes another setting */
+  uint64_t revision_before; /* accepted at the time of submission */
 };
 
 static void
@@ -71,7 +74,7 @@
 }
 
 static void
-changed (void *arg, const struct confedit_result *result)
+on_change_done (void *arg, const struct confedit_result *result)
 {
   struct run_change *change = arg;
   struct run *run = change->run;
@@ -83,7 +86,7 @@
       run->oracle.checked[PROMISE_CONFIG]++;
       if (result->revision <= change->revision_before)
         oracle_violation (&run->oracle, PROMISE_CONFIG,
-                          "revision %llu was given out before",
+                          "revision %llu was assigned before",
                           (unsigned long long)result->revision);
       if (result->revision > run->accepted)
         {
@@ -97,8 +100,8 @@
 }
 
 static void
-ask (struct run *run, size_t host, const char *path, const char *json,
-     uint32_t weight)
+submit_change (struct run *run, size_t host, const char *path,
+               const char *json, uint32_t weight)
 {
   struct run_change *change = mem_zalloc (sizeof *change);
   change->run = run;
@@ -116,11 +119,11 @@
                                       .secret = "secret",
                                       .when_s = 1 };
   run_note (run, "operator at host %zu sets %s to %s", host, path, json);
-  confedit_submit (node_confedit (run->hosts[host].node), &request, changed,
-                   change);
+  confedit_submit (node_confedit (run->hosts[host].node), &request,
+                   on_change_done, change);
 }
 
-/* An operator sets the service's weight to a number never used before.  */
+/* Sets the service's weight to a value not used before in the run.  */
 void
 run_config_change (struct run *run, size_t host)
 {
@@ -129,36 +132,36 @@
     return;
   uint32_t weight = 2 + run->changes++;
   snprintf (json, sizeof json, "%u", weight);
-  ask (run, host, "services/ledger/weight", json, weight);
+  submit_change (run, host, "services/ledger/weight", json, weight);
 }
 
 void
-run_config_leaving (struct run *run, size_t instance)
+run_config_check_leaving (struct run *run, size_t instance)
 {
   char path[64];
   uint64_t accepted = run->accepted;
   snprintf (path, sizeof path,
             "services/ledger/databases/db1/instances/%c/leaving",
             (char)('a' + instance));
-  ask (run, 0, path, "true", 0);
-  sim_run (&run->sim, IN_FORCE_MS + LEAVING_MS);
+  submit_change (run, 0, path, "true", 0);
+  sim_run (&run->sim, CONFIG_LIMIT_MS + LEAVING_LIMIT_MS);
   if (run->accepted == accepted)
     oracle_violation (&run->oracle, PROMISE_LEAVING,
                       "the change was not accepted");
   uint64_t served = sim_instance_served (run->instances[instance]);
   for (size_t i = 0; i < RUN_HOSTS; i++)
     run_read_latest (run, i, i % ORACLE_SESSIONS, FRESHNESS_SESSION);
-  sim_run (&run->sim, LEAVING_MS);
+  sim_run (&run->sim, LEAVING_LIMIT_MS);
   run_write (run, 0, 0);
-  sim_run (&run->sim, LEAVING_MS);
+  sim_run (&run->sim, LEAVING_LIMIT_MS);
   run->oracle.checked[PROMISE_LEAVING]++;
   if (sim_instance_served (run->instances[instance]) != served)
     oracle_violation (&run->oracle, PROMISE_LEAVING,
-                      "instance %zu got work after it was leaving", instance);
+                      "instance %zu got work while leaving", instance);
 }
 
 void
-run_config_broken (struct run *run, size_t host)
+run_config_disconnect (struct run *run, size_t host)
 {
   struct run_change *next;
   for (struct run_change *change = run->pending; change; change = next)
@@ -190,18 +193,19 @@
                       "host %zu has revision %llu, accepted was %llu", i,
                       (unsigned long long)revision,
                       (unsigned long long)run->accepted);
-  /* A subtree that is read just after the next change is ahead of the
-     revision for a moment, so contents are compared once settled.  */
-  bool shows = settled && revision == run->accepted && run->accepted > 0;
-  if (shows && service != NULL && service->weight != run->accepted_weight)
+  /* A subtree that was read just after the next change is briefly ahead of
+     the revision, so contents are compared only once settled.  */
+  bool comparable = settled && revision == run->accepted && run->accepted > 0;
+  if (comparable && service != NULL && service->weight != run->accepted_weight)
     oracle_violation (&run->oracle, PROMISE_CONFIG,
                       "host %zu has weight %u at revision %llu, not %u", i,
                       service->weight, (unsigned long long)revision,
                       run->accepted_weight);
 }
 
-/* The revision in force on a host never falls while the host lives; once
-   settled, all that was accepted is in force everywhere.  */
+/* Checks that the revision in force on a host never decreases between its
+   restarts and, once settled, that the accepted configuration is in force on
+   all hosts.  */
 void
 run_config_check (struct run *run, bool settled)
 {
@@ -210,5 +214,5 @@
       check_host (run, i, settled);
   if (settled && run->pending != NULL)
     oracle_violation (&run->oracle, PROMISE_NO_LEAK,
-                      "a change of configuration was never answered");
+                      "a configuration change was never answered");
 }
--- a/tests/fuzz/sim_core.c
+++ b/tests/fuzz/sim_core.c
@@ -6,16 +6,17 @@
 
 #include "kernel/mem.h"
 
-/* Rounds without time passing, after which a run is stuck.  */
+/* Rounds at one point in time after which a run counts as livelocked.  */
 #define ROUNDS_LIMIT 100000
 
+/* An event that is not yet due.  */
 struct sim_delayed
 {
   struct sim_delayed *prev;
   struct sim_delayed *next;
   struct ktimer timer;
   struct sim *sim;
-  struct sim_host *host;
+  struct sim_host *host; /* NULL: the event runs on the world's kernel */
   struct sim_event *event;
 };
 
@@ -29,7 +30,7 @@
 static const struct clk_ops host_clk_ops = { .now = host_now };
 
 static void
-drop_line (void *arg, int priority, const char *line)
+discard_line (void *arg, int priority, const char *line)
 {
   (void)arg;
   (void)priority;
@@ -56,7 +57,7 @@
                                 .rate = SIM_RATE_UNIT };
   rng_init (&host->rng, seed * SIM_HOSTS + index + 1);
   host->log = log_new (&host->clk.base, verbose ? LOG_DEBUG : LOG_EMERG, 0,
-                       verbose ? print_line : drop_line, host);
+                       verbose ? print_line : discard_line, host);
   host->inbox_tail = &host->inbox;
 }
 
@@ -116,7 +117,7 @@
 }
 
 static struct sim_event *
-take_event (struct sim_host *host)
+pop_event (struct sim_host *host)
 {
   struct sim_event *event = host->inbox;
   host->inbox = event->next;
@@ -130,7 +131,7 @@
 {
   while (host->inbox != NULL)
     {
-      struct sim_event *event = take_event (host);
+      struct sim_event *event = pop_event (host);
       event->drop (event);
     }
 }
@@ -153,8 +154,8 @@
 }
 
 void
-sim_after (struct sim *sim, struct sim_host *host, clk_ms delay_ms,
-           struct sim_event *event)
+sim_schedule (struct sim *sim, struct sim_host *host, clk_ms delay_ms,
+              struct sim_event *event)
 {
   struct sim_delayed *delayed = mem_zalloc (sizeof *delayed);
   delayed->timer.fire = run_delayed;
@@ -176,7 +177,7 @@
   return min_ms + (clk_ms)rng_below (&sim->rng, span);
 }
 
-/* First world time at which the host's clock shows DUE_MS.  */
+/* Returns the world time at which the host's clock reaches DUE_MS.  */
 static clk_ms
 world_time (const struct sim_host *host, clk_ms due_ms)
 {
@@ -186,7 +187,7 @@
 }
 
 static bool
-runs (const struct sim_host *host)
+is_running (const struct sim_host *host)
 {
   return host->alive && !host->paused && host->kernel != NULL;
 }
@@ -198,7 +199,7 @@
   for (size_t i = 0; i < sim->host_count; i++)
     {
       struct sim_host *host = &sim->hosts[i];
-      if (!runs (host))
+      if (!is_running (host))
         continue;
       clk_ms host_ms = world_time (host, kernel_next_due (host->kernel));
       if (host->inbox != NULL)
@@ -212,13 +213,13 @@
 static void
 run_host (struct sim_host *host)
 {
-  while (runs (host) && host->inbox != NULL)
+  while (is_running (host) && host->inbox != NULL)
     {
-      struct sim_event *event = take_event (host);
+      struct sim_event *event = pop_event (host);
       event->run (event);
       event->drop (event);
     }
-  if (runs (host))
+  if (is_running (host))
     kernel_run_due (host->kernel);
 }
 
@@ -239,7 +240,7 @@
         }
       if (++rounds > ROUNDS_LIMIT)
         {
-          fprintf (stderr, "livelock: time stands still at %lld\n",
+          fprintf (stderr, "livelock: time does not advance at %lld ms\n",
                    (long long)sim->clk.now_ms);
           abort ();
         }
--- a/tests/fuzz/sim_core.h
+++ b/tests/fuzz/sim_core.h
@@ -1,9 +1,12 @@
-/* sim_core - hosts of a virtual run: clocks, pausing, and message delivery.
+/* sim_core - simulated hosts in virtual time: clocks, pauses and delivery of
+   events.
 
-   All fakes schedule on one kernel, the world, whose clock is virtual.  Each
-   host has a kernel of its own on a clock that may run at another rate.  What
-   reaches a host goes through its inbox, which is emptied only while the
-   host runs: a paused host sees everything late, a dead one nothing.  */
+   The simulated network, platform and database instances schedule their
+   events on one kernel, the world, whose clock is virtual.  Each host has its
+   own kernel and a clock that may run at another rate.  Events for a host go
+   through its inbox, which is processed only while the host runs: a paused
+   host gets them after the pause, a dead host drops them.  The same seed and
+   the same calls give the same run.  */
 
 #ifndef SAVORYWAY_TESTS_SIM_CORE_H
 #define SAVORYWAY_TESTS_SIM_CORE_H
@@ -13,11 +16,13 @@
 #include "kernel/kernel.h"
 
 #define SIM_HOSTS 5
+/* Rate of a clock that runs at the speed of the world's clock.  */
 #define SIM_RATE_UNIT 1000
 
 struct sim_host;
 
-/* A call into a host.  Run at most once, then dropped; drop always runs.  */
+/* An event for a host.  RUN is called at most once; DROP is called always,
+   last, and frees the event.  */
 struct sim_event
 {
   struct sim_event *next;
@@ -29,7 +34,7 @@
 {
   struct clk base;
   struct clk *world;
-  int64_t rate; /* of SIM_RATE_UNIT */
+  int64_t rate; /* in units of 1 / SIM_RATE_UNIT */
 };
 
 struct sim_host
@@ -54,28 +59,32 @@
   struct sim_delayed *delayed; /* events not yet due */
   size_t host_count;
   struct sim_host hosts[SIM_HOSTS];
-  /* cut[a][b]: nothing passes between hosts a and b.  */
+  /* cut[a][b]: messages from host a to host b are lost.  */
   bool cut[SIM_HOSTS][SIM_HOSTS];
 };
 
+/* Sets up HOST_COUNT hosts, none alive.  SEED determines all random numbers.
+   With SIM_VERBOSE in the environment the hosts' logs are printed.  */
 void sim_init (struct sim *sim, uint64_t seed, size_t host_count);
 void sim_clear (struct sim *sim);
 
-/* Puts EVENT into the inbox of HOST, or drops it if the host is dead.  */
+/* Adds EVENT to the inbox of HOST, or drops it if the host is dead.  Takes
+   ownership of EVENT.  */
 void sim_post (struct sim_host *host, struct sim_event *event);
 
-/* Drops all that waits for HOST.  */
+/* Drops all events in the inbox of HOST.  */
 void sim_drop_inbox (struct sim_host *host);
 
 /* Runs EVENT on the world's kernel after DELAY_MS, or, if HOST is not NULL,
    posts it to HOST then.  Takes ownership of EVENT.  */
-void sim_after (struct sim *sim, struct sim_host *host, clk_ms delay_ms,
-                struct sim_event *event);
+void sim_schedule (struct sim *sim, struct sim_host *host, clk_ms delay_ms,
+                   struct sim_event *event);
 
-/* Returns a delay in [MIN_MS, MAX_MS], drawn from the world's sequence.  */
+/* Returns a random delay in [MIN_MS, MAX_MS].  */
 clk_ms sim_delay (struct sim *sim, clk_ms min_ms, clk_ms max_ms);
 
-/* Runs everything due in the next SPAN_MS.  */
+/* Advances the clock by SPAN_MS and runs all events and timers due until
+   then.  Aborts on a livelock.  */
 void sim_run (struct sim *sim, clk_ms span_ms);
 
 #endif
--- a/tests/fuzz/sim_gate.c
+++ b/tests/fuzz/sim_gate.c
@@ -5,9 +5,10 @@
 
 #include "kernel/mem.h"
 
+/* Time until a connection is closed after a cut lost a request on it.  */
 #define BREAK_AFTER_MS 5000
 
-/* Handed to the host as its struct db_conn.  */
+/* A connection; the host sees it as struct db_conn.  */
 struct sim_gate_conn
 {
   struct sim_gate_conn *prev;
@@ -19,8 +20,8 @@
   struct db_conn *inner; /* NULL once broken */
   const struct db_conn_events *events;
   void *arg;
-  bool busy;      /* the host waits for a result */
-  bool swallowed; /* a cut took something that belonged here */
+  bool busy;         /* the host waits for a result */
+  bool message_lost; /* to a cut */
 };
 
 enum notice_kind
@@ -30,6 +31,8 @@
   NOTICE_CLOSED
 };
 
+/* Delivers an event of a connection to its host.  The connection is looked up
+   by id, since it may be gone by then.  */
 struct notice
 {
   struct sim_event base;
@@ -126,7 +129,7 @@
   struct sim_host *host = &gate->sim->hosts[conn->host];
   if (gate->cut[conn->host][conn->instance] && kind != NOTICE_CLOSED)
     {
-      conn->swallowed = true;
+      conn->message_lost = true;
       return;
     }
   struct notice *notice = mem_zalloc (sizeof *notice);
@@ -146,8 +149,8 @@
       notice->result.sqlstate = notice->sqlstate;
       notice->result.message = notice->message;
     }
-  /* One connection keeps its order: a fixed delay.  */
-  sim_after (gate->sim, host, 1, &notice->base);
+  /* The delay is fixed to keep the order within a connection.  */
+  sim_schedule (gate->sim, host, 1, &notice->base);
 }
 
 static void
@@ -174,7 +177,7 @@
   (void)why;
   conn->inner = NULL;
   if (conn->gate->cut[conn->host][conn->instance])
-    conn->swallowed = true;
+    conn->message_lost = true;
   else
     send_notice (conn, NOTICE_CLOSED, NULL);
 }
@@ -183,8 +186,8 @@
                                                     .result = inner_result,
                                                     .closed = inner_closed };
 
-/* Ends a connection that a cut has kept waiting for too long.  */
-struct breaker
+/* Closes a connection after a cut lost a request on it.  */
+struct break_event
 {
   struct sim_event base;
   struct sim_gate *gate;
@@ -192,35 +195,36 @@
 };
 
 static void
-breaker_run (struct sim_event *event)
+break_event_run (struct sim_event *event)
 {
-  struct breaker *breaker = (struct breaker *)event;
-  struct sim_gate_conn *conn = find_conn (breaker->gate, breaker->conn);
-  if (conn != NULL && conn->swallowed)
+  struct break_event *break_event = (struct break_event *)event;
+  struct sim_gate_conn *conn
+      = find_conn (break_event->gate, break_event->conn);
+  if (conn != NULL && conn->message_lost)
     send_notice (conn, NOTICE_CLOSED, NULL);
 }
 
 static void
-breaker_drop (struct sim_event *event)
+break_event_drop (struct sim_event *event)
 {
   free (event);
 }
 
 static void
-swallow (struct sim_gate_conn *conn)
+schedule_break (struct sim_gate_conn *conn)
 {
-  struct breaker *breaker = mem_zalloc (sizeof *breaker);
-  conn->swallowed = true;
-  breaker->base.run = breaker_run;
-  breaker->base.drop = breaker_drop;
-  breaker->gate = conn->gate;
-  breaker->conn = conn->id;
-  sim_after (conn->gate->sim, NULL, BREAK_AFTER_MS, &breaker->base);
+  struct break_event *break_event = mem_zalloc (sizeof *break_event);
+  conn->message_lost = true;
+  break_event->base.run = break_event_run;
+  break_event->base.drop = break_event_drop;
+  break_event->gate = conn->gate;
+  break_event->conn = conn->id;
+  sim_schedule (conn->gate->sim, NULL, BREAK_AFTER_MS, &break_event->base);
 }
 
 static struct db_conn *
-gate_open (struct db_port *base, const struct db_target *target,
-           const struct db_conn_events *events, void *arg)
+db_net_open (struct db_port *base, const struct db_target *target,
+             const struct db_conn_events *events, void *arg)
 {
   struct sim_gate_port *port = (struct sim_gate_port *)base;
   struct sim_gate *gate = port->gate;
@@ -236,7 +240,7 @@
     conn->next->prev = conn;
   gate->conns = conn;
   if (gate->cut[conn->host][conn->instance])
-    swallow (conn);
+    schedule_break (conn);
   else
     conn->inner
         = port->inner->ops->open (port->inner, target, &inner_events, conn);
@@ -244,8 +248,8 @@
 }
 
 static void
-gate_submit (struct db_port *base, struct db_conn *handle,
-             const struct db_job *job)
+db_net_submit (struct db_port *base, struct db_conn *handle,
+               const struct db_job *job)
 {
   struct sim_gate_port *port = (struct sim_gate_port *)base;
   struct sim_gate *gate = port->gate;
@@ -254,22 +258,22 @@
     abort (); /* one job at a time */
   conn->busy = true;
   if (conn->inner == NULL)
-    return; /* closed already; the notice is on its way */
+    return; /* closed already; the host gets the notice soon */
   if (gate->cut[conn->host][conn->instance])
-    swallow (conn);
+    schedule_break (conn);
   else
     port->inner->ops->submit (port->inner, conn->inner, job);
 }
 
 static void
-gate_close (struct db_port *base, struct db_conn *handle)
+db_net_close (struct db_port *base, struct db_conn *handle)
 {
   (void)base;
   conn_free ((struct sim_gate_conn *)handle);
 }
 
-static const struct db_port_ops gate_ops
-    = { .open = gate_open, .submit = gate_submit, .close = gate_close };
+static const struct db_port_ops db_net_ops
+    = { .open = db_net_open, .submit = db_net_submit, .close = db_net_close };
 
 void
 sim_gate_init (struct sim_gate *gate, struct sim *sim, uint16_t first_port)
@@ -278,7 +282,7 @@
   gate->sim = sim;
   gate->first_port = first_port;
   for (size_t i = 0; i < SIM_HOSTS; i++)
-    gate->ports[i] = (struct sim_gate_port){ .base.ops = &gate_ops,
+    gate->ports[i] = (struct sim_gate_port){ .base.ops = &db_net_ops,
                                              .gate = gate,
                                              .host = &sim->hosts[i] };
 }
@@ -297,7 +301,7 @@
   if (cut)
     return;
   for (struct sim_gate_conn *c = gate->conns; c != NULL; c = c->next)
-    if (c->host == host && c->instance == instance && c->swallowed)
+    if (c->host == host && c->instance == instance && c->message_lost)
       send_notice (c, NOTICE_CLOSED, NULL);
 }
 
--- a/tests/fuzz/sim_gate.h
+++ b/tests/fuzz/sim_gate.h
@@ -1,9 +1,10 @@
-/* sim_gate - the database port of each host in a virtual run.
+/* sim_gate - the simulated network between hosts and database instances.
 
-   Stands between a host and the instances: delays what passes, delivers
-   through the host's inbox, and cuts hosts from instances.  What a cut
-   swallowed is never delivered; the connection ends when the cut heals, or
-   after a timeout.  */
+   Wraps the db_port of each host: delays results, delivers them through the
+   host's inbox, and can cut a host from an instance.  Jobs and results lost
+   to a cut are never delivered.  Their connection is closed when the cut is
+   healed; a connection opened or used during the cut is closed 5 s later at
+   the latest.  */
 
 #ifndef SAVORYWAY_TESTS_SIM_GATE_H
 #define SAVORYWAY_TESTS_SIM_GATE_H
@@ -31,22 +32,24 @@
   uint64_t next_id;
   struct sim_gate_port ports[SIM_HOSTS];
   struct sim_gate_conn *conns;
-  bool cut[SIM_HOSTS][SIM_INSTANCES];
+  bool cut[SIM_HOSTS][SIM_INSTANCES]; /* host cut from instance */
 };
 
-/* The caller sets inner of each port.  */
+/* Sets up one port a host.  The caller must set inner of each port before its
+   first use.  */
 void sim_gate_init (struct sim_gate *gate, struct sim *sim,
                     uint16_t first_port);
+/* Frees all connections.  The inner ports stay the caller's.  */
 void sim_gate_clear (struct sim_gate *gate);
 
-/* Cuts or joins a host and an instance.  */
+/* Cuts or heals the network between a host and an instance.  */
 void sim_gate_cut (struct sim_gate *gate, size_t host, size_t instance,
                    bool cut);
 
-/* Breaks all connections of a host that died.  */
+/* Frees all connections of a dead host, without calling it.  */
 void sim_gate_kill (struct sim_gate *gate, size_t host);
 
-/* Returns how many connections HOST has.  */
+/* Returns the number of connections of HOST.  */
 size_t sim_gate_conns (const struct sim_gate *gate, size_t host);
 
 #endif
--- a/tests/fuzz/sim_instance.c
+++ b/tests/fuzz/sim_instance.c
@@ -80,8 +80,9 @@
   return NULL;
 }
 
+/* Returns whether replica R can receive the log of its upstream.  */
 static bool
-stream_up (const struct sim_instance *r)
+can_stream (const struct sim_instance *r)
 {
   const struct sim_instance *u = r->upstream;
   if (u == NULL || !u->primary || u->dead || r->dead || u->frozen || r->frozen)
@@ -91,26 +92,28 @@
   return sim_world_reachable (r->group->world, u->domain, r->domain);
 }
 
+/* Starts replication of R: drops the entries that its upstream lacks.  */
 static void
-join_stream (struct sim_instance *r)
+start_streaming (struct sim_instance *r)
 {
-  size_t common = sim_log_common (&r->log, &r->upstream->log);
+  size_t common = sim_log_common_prefix (&r->log, &r->upstream->log);
   r->log.count = common;
   if (r->replayed > common)
     r->replayed = common;
   r->acked = 0;
   r->term = r->upstream->term;
-  r->linked = true;
+  r->streaming = true;
 }
 
 static void
 receive (struct sim_instance *r, clk_ms now_ms)
 {
   struct sim_instance *u = r->upstream;
-  clk_ms delay_ms = world_delay (r->group->world, u->domain, r->domain);
-  if (!r->linked || r->term != u->term)
-    join_stream (r);
-  r->linked_at_ms = now_ms;
+  clk_ms delay_ms
+      = sim_world_one_way_ms (r->group->world, u->domain, r->domain);
+  if (!r->streaming || r->term != u->term)
+    start_streaming (r);
+  r->last_streaming_ms = now_ms;
   if (r->acked > u->confirmed)
     u->confirmed = r->acked;
   r->acked = r->log.count;
@@ -133,7 +136,7 @@
 {
   if (r->primary || r->upstream == NULL)
     return true;
-  return r->linked && r->replayed == r->upstream->log.count
+  return r->streaming && r->replayed == r->upstream->log.count
          && r->upstream->confirmed >= r->log.count;
 }
 
@@ -148,10 +151,10 @@
   {
     if (r->primary || r->dead || r->frozen)
       continue;
-    if (stream_up (r))
+    if (can_stream (r))
       receive (r, now_ms);
     else
-      r->linked = false;
+      r->streaming = false;
     replay (r, now_ms);
     more = more || !caught_up (r);
   }
@@ -189,10 +192,10 @@
   strncpy (instance->address, options->address, sizeof instance->address - 1);
   strncpy (instance->domain, options->domain, sizeof instance->domain - 1);
   instance->term = 1;
-  instance->slow = 1;
+  instance->slowdown = 1;
   instance->primary = group->instances == NULL;
   instance->upstream = group->instances;
-  instance->linked = true;
+  instance->streaming = true;
   LL_APPEND (group->instances, instance);
   return instance;
 }
@@ -206,7 +209,7 @@
     .term = instance->term,
     .primary = instance->primary && !instance->fenced,
     .sealed_term = instance->sealed_term,
-    .receiving = !instance->primary && stream_up (instance),
+    .receiving = !instance->primary && can_stream (instance),
     .received_lsn = instance->log.count,
     .replayed_lsn = instance->replayed,
     .confirmed_lsn = instance->confirmed,
@@ -215,12 +218,13 @@
     return report;
   if (behind)
     report.lag_ms = now_ms - instance->log.entries[instance->replayed]->at_ms;
-  if (!report.receiving && now_ms - instance->linked_at_ms > report.lag_ms)
-    report.lag_ms = now_ms - instance->linked_at_ms;
+  if (!report.receiving
+      && now_ms - instance->last_streaming_ms > report.lag_ms)
+    report.lag_ms = now_ms - instance->last_streaming_ms;
   return report;
 }
 
-static void instance_pump (struct sim_instance *instance);
+static void start_queued_jobs (struct sim_instance *instance);
 
 static void
 job_finish (void *arg)
@@ -234,7 +238,8 @@
     }
   if (instance->frozen)
     {
-      world_after (instance->group->world, SIM_THAW_CHECK_MS, job_finish, job);
+      sim_world_schedule (instance->group->world, SIM_FROZEN_POLL_MS,
+                          job_finish, job);
       return;
     }
   if (job->has_slot)
@@ -245,7 +250,7 @@
   job->report = sim_instance_report (instance);
   instance->served += sim_job_needs_slot (job);
   sim_job_answer (job);
-  instance_pump (instance);
+  start_queued_jobs (instance);
 }
 
 static void
@@ -262,25 +267,25 @@
   job->has_slot = sim_job_needs_slot (job);
   if (job->has_slot && ++instance->running > instance->running_peak)
     instance->running_peak = instance->running;
-  world_after (instance->group->world, cost_ms, job_finish, job);
+  sim_world_schedule (instance->group->world, cost_ms, job_finish, job);
 }
 
 static void
-instance_pump (struct sim_instance *instance)
+start_queued_jobs (struct sim_instance *instance)
 {
   while (!instance->frozen && instance->running < instance->options.slots
-         && instance->fifo_head != NULL)
+         && instance->queue_head != NULL)
     {
-      struct sim_job *job = instance->fifo_head;
-      instance->fifo_head = job->fifo_next;
-      if (instance->fifo_head == NULL)
-        instance->fifo_tail = NULL;
+      struct sim_job *job = instance->queue_head;
+      instance->queue_head = job->queue_next;
+      if (instance->queue_head == NULL)
+        instance->queue_tail = NULL;
       job_begin (job);
     }
 }
 
 void
-sim_instance_take (struct sim_instance *instance, struct sim_job *job)
+sim_instance_accept_job (struct sim_instance *instance, struct sim_job *job)
 {
   job->epoch = instance->epoch;
   if (!sim_job_needs_slot (job))
@@ -288,12 +293,12 @@
       job_begin (job);
       return;
     }
-  if (instance->fifo_tail != NULL)
-    instance->fifo_tail->fifo_next = job;
+  if (instance->queue_tail != NULL)
+    instance->queue_tail->queue_next = job;
   else
-    instance->fifo_head = job;
-  instance->fifo_tail = job;
-  instance_pump (instance);
+    instance->queue_head = job;
+  instance->queue_tail = job;
+  start_queued_jobs (instance);
 }
 
 void
@@ -308,7 +313,7 @@
 {
   instance->frozen = frozen;
   sim_group_wake (instance->group);
-  instance_pump (instance);
+  start_queued_jobs (instance);
 }
 
 void
@@ -319,27 +324,27 @@
   instance->epoch++;
   instance->open = 0;
   instance->running = 0;
-  while (instance->fifo_head != NULL)
+  while (instance->queue_head != NULL)
     {
-      struct sim_job *job = instance->fifo_head;
-      instance->fifo_head = job->fifo_next;
+      struct sim_job *job = instance->queue_head;
+      instance->queue_head = job->queue_next;
       sim_job_break (job, 0);
     }
-  instance->fifo_tail = NULL;
+  instance->queue_tail = NULL;
 }
 
 void
 sim_instance_restart (struct sim_instance *instance)
 {
   instance->dead = false;
-  instance->linked = false;
+  instance->streaming = false;
   sim_group_wake (instance->group);
 }
 
 void
 sim_instance_slow (struct sim_instance *instance, uint32_t factor)
 {
-  instance->slow = factor;
+  instance->slowdown = factor;
 }
 
 void
@@ -352,7 +357,7 @@
 void
 sim_instance_lose_answers (struct sim_instance *instance, uint32_t count)
 {
-  instance->lose = count;
+  instance->answers_to_lose = count;
 }
 
 uint64_t
@@ -367,7 +372,7 @@
     r->sealed_term = term;
     r->primary = false;
     r->upstream = to;
-    r->linked = false;
+    r->streaming = false;
   }
   to->term = term;
   to->primary = true;
@@ -388,7 +393,7 @@
   instance->primary = false;
   instance->sealed_term = term;
   if (instance->upstream != to)
-    instance->linked = false;
+    instance->streaming = false;
   instance->upstream = to;
   sim_group_wake (instance->group);
 }
@@ -403,13 +408,14 @@
 uint32_t
 sim_instance_puts (struct sim_instance *instance, const char *key)
 {
-  return sim_log_puts (&instance->group->store, &instance->log, key);
+  return sim_log_count_puts (&instance->group->store, &instance->log, key);
 }
 
 uint32_t
 sim_instance_ledger (struct sim_instance *instance, const char *request_id)
 {
-  return sim_log_ledger (&instance->group->store, &instance->log, request_id);
+  return sim_log_count_requests (&instance->group->store, &instance->log,
+                                 request_id);
 }
 
 uint32_t
--- a/tests/fuzz/sim_internal.h
+++ b/tests/fuzz/sim_internal.h
@@ -1,4 +1,5 @@
-/* sim_internal - what the files of sim_instance share.  */
+/* sim_internal - types and functions shared by sim_instance.c, sim_job.c and
+   sim_port.c.  */
 
 #ifndef SAVORYWAY_FUZZ_SIM_INTERNAL_H
 #define SAVORYWAY_FUZZ_SIM_INTERNAL_H
@@ -6,12 +7,13 @@
 #include "sim_instance.h"
 #include "sim_log.h"
 
-#define SIM_BREAK_MS 2000 /* until a cut connection is noticed */
-#define SIM_TICK_MS 1
-#define SIM_THAW_CHECK_MS 5
+#define SIM_BREAK_MS 2000    /* until a cut connection is detected */
+#define SIM_TICK_MS 1        /* between two steps of replication */
+#define SIM_FROZEN_POLL_MS 5 /* between checks of a frozen instance */
 #define SIM_NAME_BYTES 64
-#define SIM_TX_PAIRS 8
+#define SIM_TX_PAIRS 8 /* limit on the puts of a transaction */
 
+/* A delayed call of FN.  */
 struct world_event
 {
   struct ktimer timer;
@@ -22,6 +24,7 @@
   struct world_event *next;
 };
 
+/* A network partition between two failure domains.  */
 struct sim_cut
 {
   char a[SIM_NAME_BYTES];
@@ -50,18 +53,19 @@
   struct sim_group *next;
 };
 
+/* A job of a host, from its submission until its result is delivered.  */
 struct sim_job
 {
-  struct db_job job; /* strings owned */
+  struct db_job job; /* owns its strings */
   struct db_conn *conn;
   struct sim_instance *instance;
-  uint64_t epoch; /* of the instance when it arrived */
+  uint64_t epoch; /* of the instance on arrival */
   bool has_slot;
-  bool executed; /* its effect, if any, is there */
+  bool executed; /* has taken effect, if it has any */
   enum db_status status;
   struct db_report report;
   char *payload;
-  struct sim_job *fifo_next;
+  struct sim_job *queue_next;
   struct sim_job *prev; /* in world->jobs */
   struct sim_job *next;
 };
@@ -73,25 +77,25 @@
   char address[SIM_NAME_BYTES];
   char domain[SIM_NAME_BYTES];
   struct sim_log log;
-  size_t replayed;
-  size_t acked; /* received and known to the primary */
+  size_t replayed; /* entries visible to reads */
+  size_t acked;    /* entries received and acknowledged to the primary */
   uint64_t term;
   uint64_t sealed_term;
-  uint64_t confirmed;
+  uint64_t confirmed; /* position that a replica has acknowledged */
   bool primary;
   bool fenced;
   struct sim_instance *upstream;
-  bool linked;
-  clk_ms linked_at_ms; /* last time the stream was up */
+  bool streaming; /* receives the log of upstream */
+  clk_ms last_streaming_ms;
   bool isolated;
   bool frozen;
   bool dead;
-  uint32_t slow;
-  uint32_t lose;
-  uint64_t epoch;
+  uint32_t slowdown; /* factor of all costs */
+  uint32_t answers_to_lose;
+  uint64_t epoch; /* incremented when the instance is killed */
   uint32_t running;
-  struct sim_job *fifo_head;
-  struct sim_job *fifo_tail;
+  struct sim_job *queue_head;
+  struct sim_job *queue_tail;
   uint32_t open;
   uint32_t opening;
   uint32_t open_peak;
@@ -102,6 +106,7 @@
   struct sim_instance *next;
 };
 
+/* The db_port of one host.  */
 struct sim_port
 {
   struct db_port base;
@@ -112,7 +117,7 @@
 struct db_conn
 {
   struct sim_port *port;
-  struct sim_instance *instance; /* NULL if no such address */
+  struct sim_instance *instance; /* NULL for an unknown address */
   const struct db_conn_events *events;
   void *arg;
   bool opened;
@@ -125,30 +130,39 @@
   struct db_conn *next;
 };
 
-void world_after (struct sim_world *world, clk_ms delay_ms,
-                  void (*fn) (void *), void *arg);
-clk_ms world_delay (const struct sim_world *world, const char *a,
-                    const char *b);
+/* Calls FN with ARG after DELAY_MS.  */
+void sim_world_schedule (struct sim_world *world, clk_ms delay_ms,
+                         void (*fn) (void *), void *arg);
+/* Returns the one-way delay between failure domains A and B.  */
+clk_ms sim_world_one_way_ms (const struct sim_world *world, const char *a,
+                             const char *b);
+/* Returns whether the network between CONN's host and instance is cut.  */
 bool sim_conn_cut (const struct db_conn *conn);
+/* Rolls back the open transaction of CONN, if any.  */
 void sim_conn_drop_pairs (struct db_conn *conn);
 
+/* Returns the instance that listens on ADDRESS and PORT, or NULL.  */
 struct sim_instance *sim_world_find (struct sim_world *world,
                                      const char *address, uint16_t port);
 
-/* Starts replication of the group's instances where there is work.  */
+/* Starts the replication timer of GROUP unless it runs.  The timer stops when
+   all replicas have caught up.  */
 void sim_group_wake (struct sim_group *group);
 
-/* Takes a job that has arrived; answers with sim_job_answer.  */
-void sim_instance_take (struct sim_instance *instance, struct sim_job *job);
+/* Accepts a job on its arrival and queues it if it needs a slot.  The result
+   is sent with sim_job_answer.  */
+void sim_instance_accept_job (struct sim_instance *instance,
+                              struct sim_job *job);
 void sim_job_answer (struct sim_job *job);
-/* The connection of JOB breaks AFTER_MS from now.  */
+/* Breaks the connection of JOB after AFTER_MS, without a result.  */
 void sim_job_break (struct sim_job *job, clk_ms after_ms);
-/* All connections to INSTANCE break, as when its host dies.  */
+/* Breaks all idle connections to INSTANCE, as when its machine fails.  */
 void sim_conns_break (struct sim_instance *instance);
 
-/* Works out status, payload and effects of JOB.  begin returns false if the
-   job is answered without taking its time.  */
+/* Checks whether JOB may run.  Returns false if it has its result already,
+   else sets COST_MS, the time until sim_job_execute is due.  */
 bool sim_job_begin (struct sim_job *job, clk_ms *cost_ms);
+/* Applies JOB and sets its status and payload.  */
 void sim_job_execute (struct sim_job *job);
 bool sim_job_needs_slot (const struct sim_job *job);
 
--- a/tests/fuzz/sim_job.c
+++ b/tests/fuzz/sim_job.c
@@ -1,3 +1,5 @@
+/* Execution of jobs by a simulated instance.  */
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,7 +11,7 @@
 #define WORDS 4
 #define STATEMENT_BYTES 256
 
-/* A parsed statement; words point into text.  */
+/* A parsed statement; words point into TEXT or to a parameter of the job.  */
 struct statement
 {
   char text[STATEMENT_BYTES];
@@ -62,9 +64,9 @@
     }
 }
 
-/* Whether INSTANCE takes writes of TERM, 0 for any.  */
+/* Returns whether INSTANCE accepts writes of TERM; 0 stands for any term.  */
 static bool
-writable (const struct sim_instance *instance, uint64_t term)
+accepts_writes (const struct sim_instance *instance, uint64_t term)
 {
   if (!instance->primary || instance->fenced)
     return false;
@@ -81,9 +83,11 @@
   const char *text = is_put (&s) ? s.word[3] : is_get (&s) ? s.word[2] : NULL;
   clk_ms cost_ms = text ? (clk_ms)strtol (text, NULL, 10)
                         : job->instance->options.cost_ms;
-  return cost_ms * job->instance->slow;
+  return cost_ms * job->instance->slowdown;
 }
 
+/* Looks up an entry with the request id of JOB in the log.  Sets the result
+   from it if there is one.  */
 static bool
 find_duplicate (struct sim_job *job)
 {
@@ -116,7 +120,7 @@
       break;
     case DB_WRITE:
     case DB_COMMIT:
-      if (!writable (instance, job->job.term))
+      if (!accepts_writes (instance, job->job.term))
         {
           job->status = DB_REFUSED;
           sim_conn_drop_pairs (job->conn);
@@ -138,7 +142,7 @@
 }
 
 static void
-append (struct sim_job *job, struct sim_pair *pairs, size_t count)
+append_entry (struct sim_job *job, struct sim_pair *pairs, size_t count)
 {
   struct sim_instance *instance = job->instance;
   struct sim_entry entry = {
@@ -165,7 +169,7 @@
   struct sim_instance *instance = job->instance;
   struct statement s;
   parse (&job->job, &s);
-  if (!writable (instance, job->job.term))
+  if (!accepts_writes (instance, job->job.term))
     {
       job->status = DB_REFUSED;
       return;
@@ -174,7 +178,7 @@
     return;
   if (s.word[0] == NULL)
     {
-      append (job, NULL, 0);
+      append_entry (job, NULL, 0);
       return;
     }
   if (!is_put (&s))
@@ -185,11 +189,12 @@
   struct sim_pair pair
       = { .key = mem_strdup (s.word[1]), .value = mem_strdup (s.word[2]) };
   job->payload = mem_printf ("{\"lsn\": %zu}", instance->log.count + 1);
-  append (job, &pair, 1);
+  append_entry (job, &pair, 1);
 }
 
+/* Returns the value of KEY in the open transaction of CONN, or NULL.  */
 static const char *
-pending_value (const struct db_conn *conn, const char *key)
+uncommitted_value (const struct db_conn *conn, const char *key)
 {
   for (size_t i = conn->pair_count; i > 0; i--)
     if (strcmp (conn->pairs[i - 1].key, key) == 0)
@@ -208,7 +213,7 @@
       job->status = DB_SQL_ERROR;
       return;
     }
-  const char *value = pending_value (job->conn, s.word[1]);
+  const char *value = uncommitted_value (job->conn, s.word[1]);
   if (value == NULL)
     value = sim_log_get (&instance->group->store, &instance->log,
                          instance->replayed, s.word[1]);
@@ -245,12 +250,12 @@
       job->status = DB_SQL_ERROR;
       return;
     }
-  if (!writable (job->instance, job->job.term))
+  if (!accepts_writes (job->instance, job->job.term))
     job->status = DB_REFUSED;
   else if (!find_duplicate (job))
     {
       job->payload = mem_strdup ("{\"committed\": true}");
-      append (job, conn->pairs, conn->pair_count);
+      append_entry (job, conn->pairs, conn->pair_count);
       conn->pair_count = 0;
     }
   sim_conn_drop_pairs (conn);
@@ -271,7 +276,7 @@
   instance->primary = true;
   instance->fenced = false;
   instance->upstream = NULL;
-  instance->linked = false;
+  instance->streaming = false;
   instance->replayed = instance->log.count;
   instance->confirmed = 0;
 }
@@ -290,7 +295,7 @@
   instance->primary = false;
   instance->fenced = false;
   instance->upstream = to;
-  instance->linked = false;
+  instance->streaming = false;
   if (job->job.term > instance->sealed_term)
     instance->sealed_term = job->job.term;
   sim_group_wake (instance->group);
--- a/tests/fuzz/sim_log.c
+++ b/tests/fuzz/sim_log.c
@@ -14,7 +14,7 @@
 }
 
 static struct sim_index *
-index_take (struct sim_index **table, const char *key)
+index_find_or_add (struct sim_index **table, const char *key)
 {
   struct sim_index *found = index_find (*table, key);
   if (found != NULL)
@@ -35,14 +35,15 @@
   for (size_t i = 0; i < added->pair_count; i++)
     {
       struct sim_pair *pair = &added->pairs[i];
-      struct sim_index *index = index_take (&store->keys, pair->key);
+      struct sim_index *index = index_find_or_add (&store->keys, pair->key);
       pair->entry = added;
       pair->older = index->newest_pair;
       index->newest_pair = pair;
     }
   if (added->request_id == NULL)
     return added;
-  struct sim_index *index = index_take (&store->requests, added->request_id);
+  struct sim_index *index
+      = index_find_or_add (&store->requests, added->request_id);
   added->older = index->newest_entry;
   index->newest_entry = added;
   return added;
@@ -94,7 +95,7 @@
 }
 
 size_t
-sim_log_common (const struct sim_log *a, const struct sim_log *b)
+sim_log_common_prefix (const struct sim_log *a, const struct sim_log *b)
 {
   size_t count = a->count < b->count ? a->count : b->count;
   while (count > 0 && a->entries[count - 1] != b->entries[count - 1])
@@ -103,7 +104,8 @@
 }
 
 static bool
-holds (const struct sim_log *log, size_t count, const struct sim_entry *entry)
+log_contains (const struct sim_log *log, size_t count,
+              const struct sim_entry *entry)
 {
   return entry->lsn <= count && log->entries[entry->lsn - 1] == entry;
 }
@@ -116,7 +118,7 @@
   if (index == NULL)
     return NULL;
   for (struct sim_pair *p = index->newest_pair; p != NULL; p = p->older)
-    if (holds (log, count, p->entry))
+    if (log_contains (log, count, p->entry))
       return p->value;
   return NULL;
 }
@@ -129,33 +131,33 @@
   if (index == NULL)
     return NULL;
   for (struct sim_entry *e = index->newest_entry; e != NULL; e = e->older)
-    if (holds (log, count, e))
+    if (log_contains (log, count, e))
       return e;
   return NULL;
 }
 
 uint32_t
-sim_log_puts (const struct sim_store *store, const struct sim_log *log,
-              const char *key)
+sim_log_count_puts (const struct sim_store *store, const struct sim_log *log,
+                    const char *key)
 {
   uint32_t count = 0;
   struct sim_index *index = index_find (store->keys, key);
   if (index == NULL)
     return 0;
   for (struct sim_pair *p = index->newest_pair; p != NULL; p = p->older)
-    count += holds (log, log->count, p->entry);
+    count += log_contains (log, log->count, p->entry);
   return count;
 }
 
 uint32_t
-sim_log_ledger (const struct sim_store *store, const struct sim_log *log,
-                const char *request_id)
+sim_log_count_requests (const struct sim_store *store,
+                        const struct sim_log *log, const char *request_id)
 {
   uint32_t count = 0;
   struct sim_index *index = index_find (store->requests, request_id);
   if (index == NULL)
     return 0;
   for (struct sim_entry *e = index->newest_entry; e != NULL; e = e->older)
-    count += holds (log, log->count, e);
+    count += log_contains (log, log->count, e);
   return count;
 }
--- a/tests/fuzz/sim_log.h
+++ b/tests/fuzz/sim_log.h
@@ -1,5 +1,8 @@
-/* sim_log - the logs of a simulated group: entries and what each prefix of
-   them holds.  */
+/* sim_log - the logs of the instances of a simulated group.
+
+   A store owns the entries of all instances of a group and indexes them by
+   key and by request id.  A log is one instance's sequence of entries; logs
+   share their entries up to the position where they diverge.  */
 
 #ifndef SAVORYWAY_FUZZ_SIM_LOG_H
 #define SAVORYWAY_FUZZ_SIM_LOG_H
@@ -10,12 +13,13 @@
 #include "core/types.h"
 #include "kernel/clock.h"
 
+/* One put.  */
 struct sim_pair
 {
   char *key;
   char *value;
   struct sim_entry *entry;
-  struct sim_pair *older; /* earlier write of the same key, any log */
+  struct sim_pair *older; /* previous put of the key, in any log */
 };
 
 /* One committed transaction.  */
@@ -28,10 +32,11 @@
   char *payload;
   size_t pair_count;
   struct sim_pair *pairs;
-  struct sim_entry *older;    /* earlier entry of the same request id */
-  struct sim_entry *all_next; /* every entry, for release */
+  struct sim_entry *older;    /* previous entry with the request id */
+  struct sim_entry *all_next; /* list of all entries of the store */
 };
 
+/* Puts of one key, or entries of one request id.  */
 struct sim_index
 {
   char *key;
@@ -48,7 +53,7 @@
   struct sim_entry *all;
 };
 
-/* The log of one instance; an entry at position i has lsn i + 1.  */
+/* The log of one instance; the entry at index i has LSN i + 1.  */
 struct sim_log
 {
   struct sim_entry **entries;
@@ -56,26 +61,30 @@
   size_t size;
 };
 
-/* Takes over request_id, payload and pairs.  */
+/* Adds a copy of ENTRY and returns it.  Takes ownership of request_id, payload
+   and pairs.  */
 struct sim_entry *sim_store_add (struct sim_store *store,
                                  const struct sim_entry *entry);
 void sim_store_free (struct sim_store *store);
 
 void sim_log_append (struct sim_log *log, struct sim_entry *entry);
-/* Length of what both logs have in common.  */
-size_t sim_log_common (const struct sim_log *a, const struct sim_log *b);
+/* Returns the length of the common prefix of both logs.  */
+size_t sim_log_common_prefix (const struct sim_log *a,
+                              const struct sim_log *b);
 
-/* Latest write of KEY, or entry of REQUEST_ID, in the first COUNT entries of
-   LOG; NULL if none.  */
+/* Return the latest value of KEY, or the latest entry with REQUEST_ID, in the
+   first COUNT entries of LOG; NULL if there is none.  */
 const char *sim_log_get (const struct sim_store *store,
                          const struct sim_log *log, size_t count,
                          const char *key);
 const struct sim_entry *sim_log_request (const struct sim_store *store,
                                          const struct sim_log *log,
                                          size_t count, const char *request_id);
-uint32_t sim_log_puts (const struct sim_store *store,
-                       const struct sim_log *log, const char *key);
-uint32_t sim_log_ledger (const struct sim_store *store,
-                         const struct sim_log *log, const char *request_id);
+/* Return the number of puts of KEY, or of entries with REQUEST_ID, in LOG.  */
+uint32_t sim_log_count_puts (const struct sim_store *store,
+                             const struct sim_log *log, const char *key);
+uint32_t sim_log_count_requests (const struct sim_store *store,
+                                 const struct sim_log *log,
+                                 const char *request_id);
 
 #endif
--- a/tests/fuzz/sim_net.c
+++ b/tests/fuzz/sim_net.c
@@ -7,8 +7,11 @@
 #include "kernel/mem.h"
 
 #define MESSAGE_LIMIT_BYTES (1 << 22)
-#define SERVER_SHIFT 48
+/* The id of a call at its receiver has the caller's index in the bits from
+   here up, and the caller's id below.  */
+#define CALLER_SHIFT 48
 
+/* A call in flight.  */
 struct sim_net_call
 {
   struct sim_net_call *next;
@@ -27,6 +30,7 @@
   PACKET_FAILED
 };
 
+/* A message, or the failure of a call, on its way to a host.  */
 struct packet
 {
   struct sim_event base;
@@ -76,7 +80,7 @@
 }
 
 static struct sim_net_call *
-take_call (struct sim_net_port *port, uint64_t id)
+remove_call (struct sim_net_port *port, uint64_t id)
 {
   for (struct sim_net_call **p = &port->calls; *p != NULL; p = &(*p)->next)
     if ((*p)->id == id)
@@ -89,7 +93,7 @@
 }
 
 static void
-end_call (struct sim_net_port *port, struct sim_net_call *call)
+free_call (struct sim_net_port *port, struct sim_net_call *call)
 {
   if (port->host->kernel != NULL)
     kernel_timer_cancel (port->host->kernel, &call->timeout);
@@ -100,12 +104,12 @@
 finish (struct sim_net_port *port, uint64_t id, enum peer_status status,
         const peer_message *reply)
 {
-  struct sim_net_call *call = take_call (port, id);
+  struct sim_net_call *call = remove_call (port, id);
   if (call == NULL)
     return;
   peer_done done = call->done;
   void *arg = call->arg;
-  end_call (port, call);
+  free_call (port, call);
   done (arg, status, reply);
 }
 
@@ -126,7 +130,7 @@
     finish (port, packet->id, PEER_OK, &message);
   else if (port->handler != NULL)
     port->handler (port->handler_arg,
-                   ((uint64_t)packet->from << SERVER_SHIFT) | packet->id,
+                   ((uint64_t)packet->from << CALLER_SHIFT) | packet->id,
                    &message);
   xdr_free ((xdrproc_t)xdr_peer_message, &message);
 }
@@ -158,9 +162,9 @@
       packet_drop (&packet->base);
       return;
     }
-  sim_after (sim, &sim->hosts[packet->to],
-             sim_delay (sim, net->delay_min_ms, net->delay_max_ms),
-             &packet->base);
+  sim_schedule (sim, &sim->hosts[packet->to],
+                sim_delay (sim, net->delay_min_ms, net->delay_max_ms),
+                &packet->base);
 }
 
 static void
@@ -169,7 +173,7 @@
 {
   struct packet *packet = packet_new (net, PACKET_FAILED, caller, caller, id);
   packet->status = status;
-  sim_after (net->sim, &net->sim->hosts[caller], 1, &packet->base);
+  sim_schedule (net->sim, &net->sim->hosts[caller], 1, &packet->base);
 }
 
 static void
@@ -214,17 +218,17 @@
 port_cancel (struct peer_port *base, uint64_t id)
 {
   struct sim_net_port *port = (struct sim_net_port *)base;
-  struct sim_net_call *call = take_call (port, id);
+  struct sim_net_call *call = remove_call (port, id);
   if (call != NULL)
-    end_call (port, call);
+    free_call (port, call);
 }
 
 static void
 port_reply (struct peer_port *base, uint64_t id, const peer_message *message)
 {
   struct sim_net_port *port = (struct sim_net_port *)base;
-  size_t to = (size_t)(id >> SERVER_SHIFT);
-  uint64_t caller_id = id & (((uint64_t)1 << SERVER_SHIFT) - 1);
+  size_t to = (size_t)(id >> CALLER_SHIFT);
+  uint64_t caller_id = id & (((uint64_t)1 << CALLER_SHIFT) - 1);
   struct packet *packet
       = packet_new (port->net, PACKET_REPLY, port->host->index, to, caller_id);
   packet->bytes = encode (message, &packet->length);
--- a/tests/fuzz/sim_oracle.c
+++ b/tests/fuzz/sim_oracle.c
@@ -63,20 +63,22 @@
   return 2 * copies > count;
 }
 
-/* What is acknowledged must be on a majority; under the primary rule it may
-   instead come from the instance that the platform names as primary.  */
+/* Checks that an acknowledged write is on a majority of the instances.  Under
+   the primary rule it may instead be acknowledged by the instance that the
+   platform names as primary.  */
 static void
 check_acknowledged (struct oracle *oracle, const struct oracle_write *write,
                     const struct entry_answer *answer, const char *primary,
                     struct sim_instance *const *instances, size_t count)
 {
   const char *by = answer->served_by ? answer->served_by : "";
-  bool led = primary == NULL || strcmp (by, primary) == 0;
+  bool by_primary = primary == NULL || strcmp (by, primary) == 0;
   oracle->checked[PROMISE_NO_STALE_ACK]++;
-  if (has_majority (write, instances, count) || (write->primary_rule && led))
+  if (has_majority (write, instances, count)
+      || (write->primary_rule && by_primary))
     return;
   oracle_violation (oracle, PROMISE_NO_STALE_ACK,
-                    "%s acknowledged by %s while %s leads, by no majority",
+                    "%s acknowledged by %s without a majority; primary is %s",
                     write->request_id, by, primary ? primary : "none");
 }
 
@@ -89,15 +91,16 @@
   enum write_state old = write->state;
   if (strcmp (answer->request_id ? answer->request_id : "", write->request_id)
       != 0)
-    oracle_violation (oracle, PROMISE_WHOLE_ANSWER, "%s got the answer to %s",
+    oracle_violation (oracle, PROMISE_WHOLE_ANSWER, "%s got the answer of %s",
                       write->request_id,
                       answer->request_id ? answer->request_id : "none");
-  /* A write under the primary rule may be lost by a failover, and is then
-     rightly told as not run.  */
+  /* A failover may lose a write acknowledged under the primary rule, which is
+     then correctly reported as not run.  */
   bool kept = old == WRITE_DONE && !write->primary_rule;
   if (kept && answer->outcome == OUTCOME_NOT_RUN)
     oracle_violation (oracle, PROMISE_NOT_RUN,
-                      "%s was done, then told as not run", write->request_id);
+                      "%s was done, then reported as not run",
+                      write->request_id);
   switch (answer->outcome)
     {
     case OUTCOME_DONE:
@@ -143,20 +146,20 @@
                       answer->payload ? answer->payload : "");
   bool own = write->session == session;
   bool known = write->state == WRITE_DONE || write->seen;
-  bool aged = since_ms > 0 && !write->primary_rule && write->done_ms > 0
-              && write->done_ms <= since_ms;
-  bool must_show = (own && known && !write->may_be_lost) || aged;
-  if (must_show)
+  bool old_enough = since_ms > 0 && !write->primary_rule && write->done_ms > 0
+                    && write->done_ms <= since_ms;
+  bool must_be_visible = (own && known && !write->may_be_lost) || old_enough;
+  if (must_be_visible)
     oracle->checked[PROMISE_OWN_WORK]++;
-  if (must_show && absent)
+  if (must_be_visible && absent)
     oracle_violation (oracle, PROMISE_OWN_WORK,
                       "session %zu did not see %s (done at %lld, served by "
                       "%s)",
                       session, write->key, (long long)write->done_ms,
                       answer->served_by ? answer->served_by : "?");
   if (present && write->state == WRITE_NOT_RUN)
-    oracle_violation (oracle, PROMISE_NOT_RUN, "%s was not run but shows",
-                      write->key);
+    oracle_violation (oracle, PROMISE_NOT_RUN,
+                      "%s was reported as not run but is visible", write->key);
   if (own && present)
     write->seen = true;
 }
@@ -182,11 +185,12 @@
     oracle_violation (oracle, PROMISE_AT_MOST_ONCE, "%s ran %u times",
                       write->request_id, puts);
   if (write->state == WRITE_NOT_RUN && puts > 0)
-    oracle_violation (oracle, PROMISE_NOT_RUN, "%s was not run but is there",
+    oracle_violation (oracle, PROMISE_NOT_RUN,
+                      "%s was reported as not run but is in the log",
                       write->request_id);
   if (write->state == WRITE_DONE && puts == 0 && !write->primary_rule)
     oracle_violation (oracle, PROMISE_NO_STALE_ACK,
-                      "%s was acknowledged and is lost", write->request_id);
+                      "%s was acknowledged but is lost", write->request_id);
   if (write->key2[0] == '\0')
     return;
   oracle->checked[PROMISE_NO_MIXING]++;
--- a/tests/fuzz/sim_parsers.c
+++ b/tests/fuzz/sim_parsers.c
@@ -89,7 +89,7 @@
 {
   if (size == 0)
     return false;
-  /* A copy of its own, so that reading beyond it is seen.  */
+  /* The copy lets the sanitizer detect reads beyond the input.  */
   char *text = mem_copy (data + 1, size - 1);
   bool ok = parsers[data[0] % PARSER_COUNT](text, size - 1);
   free (text);
--- a/tests/fuzz/sim_parsers.h
+++ b/tests/fuzz/sim_parsers.h
@@ -1,9 +1,9 @@
-/* sim_parsers - one entry for all that reads bytes from outside.
+/* sim_parsers - runs the parsers of external input on arbitrary bytes.
 
-   The first byte of the input chooses the parser: configuration of a team,
-   term record, head of the configuration, session token, message between
-   hosts, body of a caller's request.  A parser may refuse; it must not
-   crash, leak or read beyond the input.  */
+   The first byte of the input selects the parser, modulo PARSER_COUNT: 0
+   configuration of a team, 1 term record, 2 head of the configuration, 3
+   session token, 4 message between hosts, 5 body of a caller's request.  A
+   parser may reject its input; it must not crash, leak or read beyond it.  */
 
 #ifndef SAVORYWAY_TESTS_SIM_PARSERS_H
 #define SAVORYWAY_TESTS_SIM_PARSERS_H
@@ -14,11 +14,11 @@
 
 #define PARSER_COUNT 6
 
-/* Returns whether the parser took DATA.  */
+/* Returns whether the selected parser accepts DATA.  */
 bool sim_parse (const uint8_t *data, size_t size);
 
-/* A valid input of parser NUMBER, without the choosing byte; the caller
-   frees it.  */
+/* Returns a valid input of parser NUMBER, without the selecting byte, and its
+   SIZE.  The caller frees it.  */
 char *sim_parser_example (size_t number, size_t *size);
 
 #endif
--- a/tests/fuzz/sim_platform.c
+++ b/tests/fuzz/sim_platform.c
@@ -5,7 +5,7 @@
 
 #include "kernel/mem.h"
 
-/* A call from its start until its answer has reached the host.  */
+/* A call in flight.  */
 struct sim_platform_call
 {
   struct sim_platform_call *prev;
@@ -23,17 +23,18 @@
   void *arg;
   bool executed;
   bool cancelled;
-  bool late; /* of a write whose answer was lost long before */
+  bool late; /* delayed write, see SIM_FAULT_LATE */
 };
 
 enum step
 {
   STEP_EXECUTE,
-  STEP_GIVE_UP,
+  STEP_WAIT_EXPIRED,
   STEP_ANSWER
 };
 
-/* A step of a call; the call is found by port and id when it is due.  */
+/* A scheduled step of a call.  The call is looked up by host and id, since it
+   may be gone by then.  */
 struct call_event
 {
   struct sim_event base;
@@ -160,7 +161,7 @@
 }
 
 static bool
-selects (const struct sim_platform_call *call, const char *key)
+matches_key (const struct sim_platform_call *call, const char *key)
 {
   if (call->kind == PLATFORM_GET)
     return strcmp (call->key, key) == 0;
@@ -184,7 +185,7 @@
   for (size_t i = 0; i < platform->key_count; i++)
     {
       const struct sim_key *key = &platform->keys[i];
-      if (selects (call, key->key))
+      if (matches_key (call, key->key))
         items[reply->item_count++]
             = (struct platform_item){ .key = mem_strdup (key->key),
                                       .value = mem_copy (key->value,
@@ -247,11 +248,11 @@
   clk_ms delay_ms = sim_delay (platform->sim, 0, platform->delay_max_ms);
   if (platform->stalled)
     {
-      /* The answer misses the caller's timeout.  */
+      /* The answer arrives after the caller's timeout.  */
       delay_ms = call->timeout_ms;
       e->reply.status = is_read (call) ? PLATFORM_UNAVAILABLE : PLATFORM_LOST;
     }
-  sim_after (platform->sim, call->port->host, delay_ms, &e->base);
+  sim_schedule (platform->sim, call->port->host, delay_ms, &e->base);
 }
 
 static void
@@ -263,9 +264,9 @@
   platform->calls = call;
 }
 
-/* Moves the writes of CALL to a call that executes late_ms later.  */
+/* Moves the writes of CALL to a new call that executes late_ms later.  */
 static void
-defer (struct sim_platform *platform, struct sim_platform_call *call)
+defer_writes (struct sim_platform *platform, struct sim_platform_call *call)
 {
   struct sim_platform_call *late = mem_zalloc (sizeof *late);
   late->port = call->port;
@@ -278,8 +279,8 @@
   call->write_count = 0;
   call->writes = NULL;
   link_call (platform, late);
-  sim_after (platform->sim, NULL, platform->late_ms,
-             &event_new (platform, late, STEP_EXECUTE)->base);
+  sim_schedule (platform->sim, NULL, platform->late_ms,
+                &event_new (platform, late, STEP_EXECUTE)->base);
 }
 
 static void
@@ -288,16 +289,16 @@
 {
   enum platform_status status = PLATFORM_NOT_FOUND;
   bool is_write = call->kind == PLATFORM_WRITE;
-  bool lose
+  bool lose_answer
       = is_write && (fault != SIM_FAULT_NONE || platform->lose_next_answer);
   platform->writes++;
   if (is_write && fault == SIM_FAULT_LATE)
-    defer (platform, call);
+    defer_writes (platform, call);
   else if (is_write && fault != SIM_FAULT_LOST_BEFORE)
     status = apply_writes (platform, call);
   if (is_write)
     platform->lose_next_answer = false;
-  answer (platform, call, lose ? PLATFORM_LOST : status, false);
+  answer (platform, call, lose_answer ? PLATFORM_LOST : status, false);
 }
 
 static void
@@ -326,8 +327,9 @@
   execute_write (platform, call, fault);
 }
 
+/* Answers the blocking reads for which something has changed.  */
 static void
-run_waiting (struct sim_platform *platform)
+run_blocked_reads (struct sim_platform *platform)
 {
   for (struct sim_platform_call *c = platform->calls; c != NULL; c = c->next)
     if (is_read (c) && c->wait_until_ms > 0)
@@ -342,12 +344,12 @@
   struct sim_platform_call *call = find_call (platform, e->host, e->id);
   if (call == NULL)
     return;
-  if (e->step == STEP_EXECUTE || e->step == STEP_GIVE_UP)
+  if (e->step == STEP_EXECUTE || e->step == STEP_WAIT_EXPIRED)
     {
       uint64_t before = platform->index;
       execute (platform, call);
       if (platform->index != before)
-        run_waiting (platform);
+        run_blocked_reads (platform);
       return;
     }
   platform_done done = call->done;
@@ -390,13 +392,13 @@
   call->arg = arg;
   copy_writes (call, from);
   link_call (platform, call);
-  sim_after (sim, NULL, sim_delay (sim, 1, 1 + platform->delay_max_ms),
-             &event_new (platform, call, STEP_EXECUTE)->base);
+  sim_schedule (sim, NULL, sim_delay (sim, 1, 1 + platform->delay_max_ms),
+                &event_new (platform, call, STEP_EXECUTE)->base);
   if (from->wait_ms > 0)
     {
       call->wait_until_ms = sim->clk.now_ms + from->wait_ms;
-      sim_after (sim, NULL, from->wait_ms,
-                 &event_new (platform, call, STEP_GIVE_UP)->base);
+      sim_schedule (sim, NULL, from->wait_ms,
+                    &event_new (platform, call, STEP_WAIT_EXPIRED)->base);
     }
   return call->id;
 }
@@ -442,7 +444,7 @@
 {
   platform->index++;
   store (platform, key, value, strlen (value));
-  run_waiting (platform);
+  run_blocked_reads (platform);
 }
 
 const char *
@@ -459,10 +461,9 @@
   memcpy (platform->hosts, hosts, count * sizeof *hosts);
   platform->host_count = count;
   platform->hosts_index++;
-  run_waiting (platform);
+  run_blocked_reads (platform);
 }
 
-/* Calls of a dead host still take effect; their answers go nowhere.  */
 void
 sim_platform_kill (struct sim_platform *platform, size_t index)
 {
--- a/tests/fuzz/sim_port.c
+++ b/tests/fuzz/sim_port.c
@@ -1,3 +1,5 @@
+/* The db_port of simulated instances: connections and transport of jobs.  */
+
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -15,8 +17,8 @@
 }
 
 void
-world_after (struct sim_world *world, clk_ms delay_ms, void (*fn) (void *),
-             void *arg)
+sim_world_schedule (struct sim_world *world, clk_ms delay_ms,
+                    void (*fn) (void *), void *arg)
 {
   struct world_event *event = mem_zalloc (sizeof *event);
   event->world = world;
@@ -30,7 +32,8 @@
 }
 
 clk_ms
-world_delay (const struct sim_world *world, const char *a, const char *b)
+sim_world_one_way_ms (const struct sim_world *world, const char *a,
+                      const char *b)
 {
   return strcmp (a, b) == 0 ? world->local_ms : world->remote_ms;
 }
@@ -38,8 +41,8 @@
 static clk_ms
 conn_delay (const struct db_conn *conn)
 {
-  return world_delay (conn->port->world, conn->port->domain,
-                      conn->instance->domain);
+  return sim_world_one_way_ms (conn->port->world, conn->port->domain,
+                               conn->instance->domain);
 }
 
 bool
@@ -63,7 +66,7 @@
 }
 
 static void
-conn_leave (struct db_conn *conn)
+conn_detach (struct db_conn *conn)
 {
   conn->closed = true;
   sim_conn_drop_pairs (conn);
@@ -76,12 +79,12 @@
 {
   if (conn->closed)
     return;
-  conn_leave (conn);
+  conn_detach (conn);
   conn->events->closed (conn->arg, conn, why);
 }
 
 static void
-conn_not_there (void *arg)
+conn_unreachable (void *arg)
 {
   conn_closed (arg, "unreachable");
 }
@@ -96,7 +99,8 @@
     return;
   if (sim_conn_cut (conn) || instance->frozen)
     {
-      world_after (conn->port->world, SIM_BREAK_MS, conn_not_there, conn);
+      sim_world_schedule (conn->port->world, SIM_BREAK_MS, conn_unreachable,
+                          conn);
       return;
     }
   if (instance->dead || instance->open >= instance->options.connections)
@@ -126,15 +130,15 @@
   LL_PREPEND (self->world->conns, conn);
   if (conn->instance == NULL)
     {
-      world_after (self->world, 0, conn_not_there, conn);
+      sim_world_schedule (self->world, 0, conn_unreachable, conn);
       return conn;
     }
   struct sim_instance *instance = conn->instance;
   if (++instance->opening > instance->opening_peak)
     instance->opening_peak = instance->opening;
-  world_after (self->world,
-               instance->options.connect_ms + conn_delay (conn) * 2,
-               conn_opened, conn);
+  sim_world_schedule (self->world,
+                      instance->options.connect_ms + conn_delay (conn) * 2,
+                      conn_opened, conn);
   return conn;
 }
 
@@ -172,7 +176,7 @@
 void
 sim_job_break (struct sim_job *job, clk_ms after_ms)
 {
-  world_after (job->conn->port->world, after_ms, job_lost, job);
+  sim_world_schedule (job->conn->port->world, after_ms, job_lost, job);
 }
 
 static void
@@ -207,14 +211,14 @@
 sim_job_answer (struct sim_job *job)
 {
   struct sim_instance *instance = job->instance;
-  if (instance->lose > 0 && job->job.kind != DB_STATUS)
+  if (instance->answers_to_lose > 0 && job->job.kind != DB_STATUS)
     {
-      instance->lose--;
+      instance->answers_to_lose--;
       sim_job_break (job, conn_delay (job->conn));
       return;
     }
-  world_after (job->conn->port->world, conn_delay (job->conn), job_deliver,
-               job);
+  sim_world_schedule (job->conn->port->world, conn_delay (job->conn),
+                      job_deliver, job);
 }
 
 static void
@@ -227,7 +231,7 @@
   else if (job->conn->epoch != instance->epoch)
     sim_job_break (job, conn_delay (job->conn));
   else
-    sim_instance_take (instance, job);
+    sim_instance_accept_job (instance, job);
 }
 
 static char *
@@ -254,14 +258,14 @@
   job->instance = conn->instance;
   conn->job = job;
   DL_APPEND (self->world->jobs, job);
-  world_after (self->world, conn_delay (conn), job_arrive, job);
+  sim_world_schedule (self->world, conn_delay (conn), job_arrive, job);
 }
 
 static void
 port_close (struct db_port *port, struct db_conn *conn)
 {
   (void)port;
-  conn_leave (conn);
+  conn_detach (conn);
 }
 
 static void
@@ -279,7 +283,8 @@
     bool idle = conn->instance == instance && conn->opened && !conn->closed
                 && conn->job == NULL;
     if (idle)
-      world_after (conn->port->world, conn_delay (conn), conn_broken, conn);
+      sim_world_schedule (conn->port->world, conn_delay (conn), conn_broken,
+                          conn);
   }
 }
 
--- a/tests/fuzz/sim_rig.c
+++ b/tests/fuzz/sim_rig.c
@@ -12,12 +12,13 @@
 #include "core/view_module.h"
 #include "kernel/mem.h"
 
-#define FIRST_PORT 100
-#define MESSAGE_MS 1
+#define FIRST_PORT 100     /* port number of the first instance */
+#define MESSAGE_DELAY_MS 1 /* one way, between hosts */
 #define CONFIG_BYTES 16384
 
 struct rig_host;
 
+/* The peer_port of one host.  */
 struct rig_port
 {
   struct peer_port base;
@@ -26,7 +27,7 @@
   void *handler_arg;
 };
 
-/* A message between hosts, or its answer.  */
+/* A call between hosts.  MESSAGE is the request or, if IS_REPLY, the reply. */
 struct rig_message
 {
   struct ktimer timer;
@@ -38,7 +39,7 @@
   peer_done done;
   void *arg;
   bool answered;
-  bool answering;
+  bool is_reply;
   struct rig_message *prev;
   struct rig_message *next;
 };
@@ -107,7 +108,7 @@
 on_arrival (void *arg)
 {
   struct rig_message *m = arg;
-  if (m->answering)
+  if (m->is_reply)
     {
       peer_done done = m->done;
       void *done_arg = m->arg;
@@ -157,7 +158,7 @@
   if (lost)
     m->timer.fire = on_timeout;
   kernel_timer_set (rig->world_kernel, &m->timer,
-                    rig->clk.now_ms + (lost ? timeout_ms : MESSAGE_MS));
+                    rig->clk.now_ms + (lost ? timeout_ms : MESSAGE_DELAY_MS));
   return m->id;
 }
 
@@ -192,10 +193,10 @@
   peer_message *copy = peers_message_copy (message);
   peers_message_free (m->message);
   m->message = copy;
-  m->answering = true;
+  m->is_reply = true;
   m->timer.fire = on_arrival;
   kernel_timer_set (rig->world_kernel, &m->timer,
-                    rig->clk.now_ms + MESSAGE_MS);
+                    rig->clk.now_ms + MESSAGE_DELAY_MS);
 }
 
 static void
@@ -339,7 +340,7 @@
 }
 
 static void
-tell_members (struct rig *rig)
+set_members (struct rig *rig)
 {
   struct platform_host list[RIG_HOSTS];
   size_t count = rig->options.hosts;
@@ -370,7 +371,7 @@
   for (size_t i = 0; i < options->hosts; i++)
     add_host (rig, i);
   apply_config (rig, false);
-  tell_members (rig);
+  set_members (rig);
   for (size_t i = 0; i < options->hosts; i++)
     kernel_start (rig->hosts[i].kernel);
   for (size_t d = 0; d < options->databases; d++)
--- a/tests/fuzz/sim_rig.h
+++ b/tests/fuzz/sim_rig.h
@@ -1,8 +1,15 @@
-/* sim_rig - entry hosts before simulated database groups, in virtual time.
+/* sim_rig - hosts with only the request path, in front of simulated database
+   groups, in virtual time.
 
-   Hosts know configuration, members and term records from the start; nothing
-   stands in for the platform.  Messages between hosts take a fixed time.
-   Serves unit tests and measurements of the request path.  */
+   Configuration, members and term records are set directly on each host;
+   there is no platform, no synchronisation and no failover.  Messages between
+   hosts take a fixed time.  Used by unit tests and benchmarks of the request
+   path.
+
+   A rig has the service RIG_SERVICE with the databases "d0", "d1", ..., each
+   with the instances "i0", "i1", ..., and hosts "h0", "h1", ... in failure
+   domains "z0", "z1", ...  Hosts, databases, instances and gateways are
+   numbered from 0.  */
 
 #ifndef SAVORYWAY_FUZZ_SIM_RIG_H
 #define SAVORYWAY_FUZZ_SIM_RIG_H
@@ -26,23 +33,25 @@
   uint64_t seed;
   size_t hosts;
   size_t domains;
-  size_t databases; /* "d0", ... with instances "i0", ... */
-  uint32_t slots;
+  size_t databases;
+  uint32_t slots; /* of each instance; see sim_instance_options */
   uint32_t connections;
   clk_ms connect_ms;
   clk_ms cost_ms;
   clk_ms lag_ms;
   enum policy policy;
-  const char *kinds; /* JSON object of the service's kinds */
-  int log_level;     /* lines go to standard error */
+  const char *kinds; /* JSON object with the service's kinds of request */
+  int log_level;     /* of the log on standard error */
 };
 
 struct rig;
 
+/* Creates and starts all hosts.  Instance 0 is the primary of each database,
+   with an active record of term 1.  */
 struct rig *rig_new (const struct rig_options *options);
 void rig_free (struct rig *rig);
 
-/* Lets SPAN_MS pass.  */
+/* Advances the clock by SPAN_MS and runs all that is due until then.  */
 void rig_run (struct rig *rig, clk_ms span_ms);
 clk_ms rig_now (const struct rig *rig);
 struct rng *rig_rng (struct rig *rig);
@@ -58,24 +67,27 @@
                                    size_t instance);
 int64_t rig_metric (struct rig *rig, const char *name); /* sum over hosts */
 
-/* Index of the host that is gateway number ORDER of an instance.  */
+/* Returns the index of the host that is gateway number ORDER of an
+   instance.  */
 size_t rig_gateway_host (struct rig *rig, size_t database, size_t instance,
                          size_t order);
 
-/* Cuts HOST from all others, or heals that.  */
+/* Cuts or heals the network between HOST and all other hosts.  */
 void rig_cut_host (struct rig *rig, size_t host, bool cut);
-/* Tells all hosts of a term record; START_LSN is where TERM begins.  */
+/* Sets the term record of DATABASE on all hosts.  TERM starts at position
+   START_LSN.  */
 void rig_set_term (struct rig *rig, size_t database, uint64_t term,
                    size_t primary, enum term_state state, uint64_t start_lsn);
-/* Promotes instance TO and tells all hosts.  */
+/* Promotes instance TO and sets an active record of TERM on all hosts.  */
 void rig_promote (struct rig *rig, size_t database, size_t to, uint64_t term);
-/* Replaces the configuration of kinds and marks database 0 as leaving.  */
+/* Applies the configuration again, with database 0 marked as leaving or
+   not.  */
 void rig_set_leaving (struct rig *rig, bool leaving);
 
-/* Age of the hosts' view of the term records, as they are told.  */
+/* Sets the age that hosts assume for their copy of the term records.  */
 void rig_set_view_age (struct rig *rig, clk_ms age_ms);
 
-/* A request that a test submits and looks at later.  */
+/* A request of a test and, once DONE, its answer.  */
 struct rig_request
 {
   bool done;
@@ -97,7 +109,7 @@
 void rig_submit (struct rig *rig, size_t host, struct rig_request *request,
                  const char *kind, const char *statement, const char *token,
                  const char *request_id, clk_ms deadline_ms);
-/* The same for any action.  */
+/* Submits any ACTION in the same way, with the default deadline of KIND.  */
 void rig_act (struct rig *rig, size_t host, struct rig_request *request,
               enum entry_action action, const char *kind,
               const char *statement, const char *token, const char *request_id,
--- a/tests/fuzz/sim_run.c
+++ b/tests/fuzz/sim_run.c
@@ -8,9 +8,9 @@
 #include "core/sync.h"
 #include "kernel/mem.h"
 
-#define FIRST_PORT 5001
-#define SETTLE_MS 60000
-#define WARM_UP_MS 5000
+#define FIRST_PORT 5001 /* port number of the first instance */
+#define SETTLE_MS 60000 /* time to recover after all faults are repaired */
+#define WARM_UP_MS 5000 /* time to become ready after the start */
 
 const char *const run_domains[RUN_DOMAINS] = { "north", "east", "south" };
 
@@ -46,7 +46,7 @@
 }
 
 void
-run_list_hosts (struct run *run)
+run_publish_hosts (struct run *run)
 {
   struct platform_host list[SIM_HOSTS] = { 0 };
   size_t count = 0;
@@ -117,8 +117,8 @@
   sim_gate_kill (&run->gate, index);
   sim_net_kill (&run->net, index);
   sim_platform_kill (&run->platform, index);
-  run_calls_broken (run, index);
-  run_config_broken (run, index);
+  run_calls_disconnect (run, index);
+  run_config_disconnect (run, index);
 }
 
 static void
@@ -158,7 +158,7 @@
   run_config_init (run);
   for (size_t i = 0; i < RUN_HOSTS; i++)
     run_host_start (run, i);
-  run_list_hosts (run);
+  run_publish_hosts (run);
   sim_run (&run->sim, WARM_UP_MS);
 }
 
@@ -212,7 +212,7 @@
 }
 
 static void
-mend (struct run *run)
+repair_all (struct run *run)
 {
   memset (run->sim.cut, 0, sizeof run->sim.cut);
   run->net.lose_permille = 0;
@@ -243,11 +243,11 @@
         run_host_stop (run, i);
       run_host_start (run, i);
     }
-  run_list_hosts (run);
+  run_publish_hosts (run);
 }
 
 static void
-check_leftovers (struct run *run)
+check_leaks (struct run *run)
 {
   struct oracle *oracle = &run->oracle;
   oracle->checked[PROMISE_NO_LEAK]++;
@@ -269,18 +269,18 @@
 void
 run_finish (struct run *run)
 {
-  run_note (run, "mend everything");
-  mend (run);
+  run_note (run, "all faults repaired");
+  repair_all (run);
   sim_run (&run->sim, SETTLE_MS);
-  check_leftovers (run);
+  check_leaks (run);
   run_config_check (run, true);
   struct sim_instance *primary = find_primary (run);
   if (primary == NULL)
     oracle_violation (&run->oracle, PROMISE_NO_LEAK,
-                      "no primary after everything was mended");
+                      "no primary after all faults were repaired");
   else
     oracle_finish (&run->oracle, primary);
-  /* The system must work again: a write and a read of it elsewhere.  */
+  /* A write at one host and a read at another must succeed again.  */
   size_t done = run->answered[OUTCOME_DONE];
   for (size_t i = 0; i < ORACLE_SESSIONS; i++)
     run->sessions[i].token[0] = '\0';
@@ -290,8 +290,8 @@
   sim_run (&run->sim, SETTLE_MS / 2);
   if (run->answered[OUTCOME_DONE] != done + 2)
     oracle_violation (&run->oracle, PROMISE_OWN_WORK,
-                      "no service after everything was mended");
-  run_config_leaving (run, run->oracle.seed % SIM_INSTANCES);
+                      "requests fail after all faults were repaired");
+  run_config_check_leaving (run, run->oracle.seed % SIM_INSTANCES);
 }
 
 void
@@ -299,8 +299,8 @@
 {
   for (size_t i = 0; i < RUN_HOSTS; i++)
     run_host_stop (run, i);
-  run_calls_broken (run, SIZE_MAX);
-  run_config_broken (run, SIZE_MAX);
+  run_calls_disconnect (run, SIZE_MAX);
+  run_config_disconnect (run, SIZE_MAX);
   sim_gate_clear (&run->gate);
   for (size_t i = 0; i < RUN_HOSTS; i++)
     sim_port_free (run->gate.ports[i].inner);
--- a/tests/fuzz/sim_steps.c
+++ b/tests/fuzz/sim_steps.c
@@ -1,11 +1,16 @@
+/* Steps of a schedule: requests of callers and operators, and faults.  */
+
 #include <string.h>
 
 #include "sim_run.h"
 
+/* Limits of the wait after a step: of the rare long waits, of the others.  */
 #define LONGEST_WAIT_MS 3000
 #define SHORT_WAIT_MS 40
 
-/* Weights of what a step may do, of 256.  */
+/* Actions of a step.  Each is selected by the values of the step's first byte
+   from the previous bound up to its own; the rest, up to 255, are faults of
+   the platform.  */
 enum step_limit
 {
   STEP_WRITE = 70,
@@ -16,7 +21,7 @@
   STEP_TRANSACTION = 154,
   STEP_CONFIG = 160,
   STEP_WAIT = 168,
-  STEP_MEND = 176,
+  STEP_REPAIR = 176,
   STEP_SCENARIO = 188,
   STEP_INSTANCE = 206,
   STEP_HOST = 226,
@@ -24,10 +29,10 @@
 };
 
 static void
-instance_fault (struct run *run, uint8_t what, size_t i)
+instance_fault (struct run *run, uint8_t variant, size_t i)
 {
   struct sim_instance *instance = run->instances[i];
-  switch (what % 7)
+  switch (variant % 7)
     {
     case 0:
       run->instance_isolated[i] = !run->instance_isolated[i];
@@ -64,10 +69,10 @@
 }
 
 static void
-host_fault (struct run *run, uint8_t what, size_t i)
+host_fault (struct run *run, uint8_t variant, size_t i)
 {
   struct sim_host *host = &run->sim.hosts[i];
-  switch (what % 5)
+  switch (variant % 5)
     {
     case 0:
       run_note (run, "host %zu %s", i, host->alive ? "dies" : "starts");
@@ -75,7 +80,7 @@
         run_host_stop (run, i);
       else
         run_host_start (run, i);
-      run_list_hosts (run);
+      run_publish_hosts (run);
       break;
     case 1:
       if (!host->alive)
@@ -90,7 +95,7 @@
       run->hosts[i].draining = true;
       run->hosts[i].drain_at_ms = run->sim.clk.now_ms;
       node_drain (run->hosts[i].node);
-      run_list_hosts (run);
+      run_publish_hosts (run);
       break;
     case 3:
       run_host_stop (run, i);
@@ -100,13 +105,14 @@
                 (long long)host->clk.rate);
       break;
     default:
-      run_note (run, "the list of hosts catches up");
-      run_list_hosts (run);
+      run_note (run, "the list of hosts is updated");
+      run_publish_hosts (run);
       break;
     }
 }
 
-/* Cuts the streams of replication between DOMAIN and all others.  */
+/* Cuts or heals the replication between DOMAIN and all other failure
+   domains.  */
 static void
 cut_instances (struct run *run, size_t domain, bool cut)
 {
@@ -115,12 +121,13 @@
       sim_world_cut (run->world, run_domains[domain], run_domains[i], cut);
 }
 
-/* Cuts a whole failure domain, or one pair of hosts.  */
+/* Cuts or heals one link between hosts, to an instance or to the platform, or
+   cuts off the whole failure domain of host A.  */
 static void
-network_fault (struct run *run, uint8_t what, size_t a, size_t b)
+network_fault (struct run *run, uint8_t variant, size_t a, size_t b)
 {
   bool cut = !run->sim.cut[a][b];
-  switch (what % 5)
+  switch (variant % 5)
     {
     case 0:
     case 1:
@@ -153,9 +160,9 @@
 }
 
 static void
-platform_fault (struct run *run, uint8_t what)
+platform_fault (struct run *run, uint8_t variant)
 {
-  switch (what % 4)
+  switch (variant % 4)
     {
     case 0:
       run->platform.outage = !run->platform.outage;
@@ -176,12 +183,13 @@
     }
 }
 
-/* Takes away one fault, so that runs don't only get worse.  */
+/* Repairs the faults of host I and of one instance, so that faults don't only
+   accumulate in a run.  */
 static void
-mend_one (struct run *run, size_t i)
+repair_one (struct run *run, size_t i)
 {
   size_t instance = i % SIM_INSTANCES;
-  run_note (run, "mend host %zu and instance %zu", i, instance);
+  run_note (run, "repair host %zu and instance %zu", i, instance);
   for (size_t j = 0; j < RUN_HOSTS; j++)
     run->sim.cut[i][j] = run->sim.cut[j][i] = false;
   for (size_t j = 0; j < SIM_INSTANCES; j++)
@@ -203,9 +211,10 @@
   run->instance_down[instance] = false;
 }
 
-/* A host that has drained ends; what it still had would be cut off.  */
+/* Stops the hosts that have drained.  Requests still in flight there would be
+   lost.  */
 static void
-end_drained (struct run *run)
+stop_drained_hosts (struct run *run)
 {
   for (size_t i = 0; i < RUN_HOSTS; i++)
     {
@@ -214,16 +223,17 @@
           || !node_drained (host->node))
         continue;
       run->oracle.checked[PROMISE_DRAIN]++;
-      if (run_calls_at (run, i) > 0)
+      if (run_calls_count (run, i) > 0)
         oracle_violation (&run->oracle, PROMISE_DRAIN,
-                          "host %zu has drained with %zu requests open", i,
-                          run_calls_at (run, i));
-      run_note (run, "host %zu has drained and ends", i);
+                          "host %zu has drained with %zu requests in flight",
+                          i, run_calls_count (run, i));
+      run_note (run, "host %zu has drained and stops", i);
       run_host_stop (run, i);
-      run_list_hosts (run);
+      run_publish_hosts (run);
     }
 }
 
+/* Returns the index of the primary in the platform's record, 0 if none.  */
 static size_t
 primary_index (struct run *run)
 {
@@ -238,7 +248,8 @@
   sim_instance_isolate (run->instances[i], isolated);
 }
 
-/* The primary's failure domain is cut off; its hosts go on serving.  */
+/* Cuts off the primary's failure domain, then sends requests to both sides.
+   The hosts in the domain go on running and must not serve outdated data.  */
 static void
 lose_domain (struct run *run, clk_ms wait_ms)
 {
@@ -252,8 +263,8 @@
   run_write (run, domain, 2);
 }
 
-/* No replica receives log any more, and the primary takes a write; then it is
-   lost, and the next one, which nobody follows, is lost as the first
+/* Stops replication, writes to the primary and isolates it.  The primary
+   promoted next, which no replica follows, is isolated as the first one
    returns.  */
 static void
 fail_twice (struct run *run, clk_ms wait_ms)
@@ -273,7 +284,7 @@
     cut_instances (run, i, false);
 }
 
-/* All replicas fall behind.  */
+/* Delays the replay of all replicas beyond the age that reads allow.  */
 static void
 lag_all (struct run *run, clk_ms lag_ms)
 {
@@ -286,12 +297,12 @@
 }
 
 static void
-scenario (struct run *run, uint8_t what, clk_ms wait_ms)
+run_scenario (struct run *run, uint8_t variant, clk_ms wait_ms)
 {
-  run_note (run, "scenario %u, %lld ms", what % 3, (long long)wait_ms);
-  if (what % 3 == 0)
+  run_note (run, "scenario %u, %lld ms", variant % 3, (long long)wait_ms);
+  if (variant % 3 == 0)
     lose_domain (run, wait_ms);
-  else if (what % 3 == 1)
+  else if (variant % 3 == 1)
     fail_twice (run, wait_ms);
   else
     lag_all (run, wait_ms);
@@ -300,45 +311,45 @@
 void
 run_step (struct run *run)
 {
-  uint8_t what = run_byte (run);
-  uint8_t who = run_byte (run);
+  uint8_t action = run_byte (run);
+  uint8_t target = run_byte (run);
   uint8_t wait = run_byte (run);
-  size_t host = who % RUN_HOSTS;
-  size_t session = (who / RUN_HOSTS) % ORACLE_SESSIONS;
+  size_t host = target % RUN_HOSTS;
+  size_t session = (target / RUN_HOSTS) % ORACLE_SESSIONS;
   size_t other = session % RUN_HOSTS;
   clk_ms wait_ms = wait < 200 ? wait % SHORT_WAIT_MS
                               : (clk_ms)(wait - 199) * LONGEST_WAIT_MS / 57;
 
-  if (what < STEP_WRITE)
+  if (action < STEP_WRITE)
     run_write (run, host, session);
-  else if (what < STEP_READ_SESSION)
+  else if (action < STEP_READ_SESSION)
     run_read (run, host, session, FRESHNESS_SESSION);
-  else if (what < STEP_READ_AGE)
+  else if (action < STEP_READ_AGE)
     run_read (run, host, session, FRESHNESS_MAX_AGE);
-  else if (what < STEP_READ_STRONG)
+  else if (action < STEP_READ_STRONG)
     run_read (run, host, session, FRESHNESS_STRONG);
-  else if (what < STEP_RETRY)
+  else if (action < STEP_RETRY)
     run_retry (run, host, session);
-  else if (what < STEP_TRANSACTION)
+  else if (action < STEP_TRANSACTION)
     run_transaction (run, host, session);
-  else if (what < STEP_CONFIG)
+  else if (action < STEP_CONFIG)
     run_config_change (run, host);
-  else if (what < STEP_WAIT)
+  else if (action < STEP_WAIT)
     wait_ms = (clk_ms)wait * 16;
-  else if (what < STEP_MEND)
-    mend_one (run, host);
-  else if (what < STEP_SCENARIO)
+  else if (action < STEP_REPAIR)
+    repair_one (run, host);
+  else if (action < STEP_SCENARIO)
     {
-      scenario (run, run_byte (run), (clk_ms)run_byte (run) * (clk_ms)20);
+      run_scenario (run, run_byte (run), (clk_ms)run_byte (run) * (clk_ms)20);
     }
-  else if (what < STEP_INSTANCE)
-    instance_fault (run, run_byte (run), who % SIM_INSTANCES);
-  else if (what < STEP_HOST)
+  else if (action < STEP_INSTANCE)
+    instance_fault (run, run_byte (run), target % SIM_INSTANCES);
+  else if (action < STEP_HOST)
     host_fault (run, run_byte (run), host);
-  else if (what < STEP_NETWORK)
+  else if (action < STEP_NETWORK)
     network_fault (run, run_byte (run), host, other);
   else
     platform_fault (run, run_byte (run));
   sim_run (&run->sim, wait_ms);
-  end_drained (run);
+  stop_drained_hosts (run);
 }
--- a/tests/unit/test_schedules.c
+++ b/tests/unit/test_schedules.c
@@ -1,3 +1,6 @@
+/* Schedules of faults that once led to a violation, and determinism of the
+   simulation.  */
+
 #include <sodium.h>
 
 #include "sim_run.h"
@@ -5,16 +8,17 @@
 
 #define LENGTH_BYTES 240
 
-/* Inputs that once broke a promise; each ran into a fault now mended.  */
+/* Seeds whose schedule once violated a promise of sim_oracle.h, with the fault
+   that is fixed now.  */
 static const uint64_t seeds[] = {
-  2,      /* a request was sent to the only gateway for ever */
-  96,     /* a retry of a finished request was told as not run */
-  419,    /* a cost learned while paused refused every write */
-  356,    /* a replaced primary served a read of a stated age */
-  4438,   /* a look-up was answered from a term that was given up later */
-  126644, /* a proof that timed out was taken as confirmed */
-  300836, /* a tombstone was told under the primary rule, then lost */
-  166815, /* a fenced primary served a read of a stated age */
+  2,      /* a request was resent to the only gateway forever */
+  96,     /* a retry of a finished request was reported as not run */
+  419,    /* a cost measured during a pause refused every write */
+  356,    /* a replaced primary served a read with max_age */
+  4438,   /* a look-up was answered from a term abandoned later */
+  126644, /* a leadership check that timed out counted as passed */
+  300836, /* a tombstone, reported under the primary rule, was lost */
+  166815, /* a fenced primary served a read with max_age */
   7287,   /* a refusal returned an empty session token */
   9658,   /* a replaced primary served a strong read */
 };
--- a/tests/unit/test_sim.c
+++ b/tests/unit/test_sim.c
@@ -1,6 +1,10 @@
+/* The simulated database instances behave as the tests built on them assume:
+   replication, limits, lost results and promotion.  */
+
 #include "sim_instance.h"
 #include "unit.h"
 
+/* Events received by the connections of a test.  */
 struct seen
 {
   uint32_t opened;
@@ -52,6 +56,7 @@
 static const struct db_conn_events events
     = { .opened = on_opened, .result = on_result, .closed = on_closed };
 
+/* Advances the clock by SPAN_MS.  */
 static void
 run_for (clk_ms span_ms)
 {
@@ -99,6 +104,7 @@
   log_free (log_none);
 }
 
+/* Opens a connection to the instance with port NUMBER.  */
 static struct db_conn *
 open_to (uint16_t number)
 {
@@ -161,7 +167,7 @@
   tear_down ();
 }
 
-UNIT_TEST (test_promotion_drops_what_the_new_primary_lacked)
+UNIT_TEST (test_promotion_drops_entries_the_new_primary_lacked)
 {
   set_up ();
   struct db_conn *conn = open_to (1);
--- a/tests/unit/unit.h
+++ b/tests/unit/unit.h
@@ -1,15 +1,17 @@
-/* What the unit-test programs share.
+/* unit - framework of the unit-test programs, on top of Check.
 
-   Each test adds itself to the suite where it is defined, so none can be
-   written and then not run:
+   The definition of a test also registers it, so that no test can be left out
+   of its suite by mistake:
 
-     UNIT_TEST (name) { ... }            runs once, with the fixture
-     UNIT_LOOP (name, low, high) { ... } runs with _i from LOW to HIGH - 1
-     UNIT_PLAIN (name) { ... }           runs once, without the fixture
+     UNIT_TEST (name) { ... }            is_running once, with the fixture
+     UNIT_LOOP (name, low, high) { ... } is_running with _i from LOW to HIGH -
+   1 UNIT_PLAIN (name) { ... }           is_running once, without the fixture
      UNIT_PLAIN_LOOP (name, low, high) { ... }
 
-   UNIT_MAIN ("name", .setup = ..., ...) ends the program; it takes members
-   of struct unit_options.  The exit status is 0 if all tests passed.  */
+   The fixture are the functions setup and teardown of struct unit_options,
+   called before and after each test.  UNIT_MAIN ("name", .setup = ..., ...) at
+   the end of the file defines main and takes members of struct unit_options.
+   The exit status is 0 if all tests passed.  */
 
 #ifndef SAVORYWAY_UNIT_UNIT_H
 #define SAVORYWAY_UNIT_UNIT_H
@@ -20,15 +22,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNIT_TESTS 64
+#define UNIT_TESTS 64 /* limit on the tests of a program */
 
 struct unit_options
 {
   void (*setup) (void);
   void (*teardown) (void);
-  int (*init) (void); /* once, before all; fails below 0 */
-  int timeout_s;      /* of a test; 0: the default of check */
-  int plain_timeout_s;
+  int (*init) (void);  /* called once, first; negative: it failed */
+  int timeout_s;       /* of a test with fixture; 0: Check's default */
+  int plain_timeout_s; /* of a test without fixture */
 };
 
 struct unit_test
