--- a/tests/fuzz/sim_control.h
+++ b/tests/fuzz/sim_control.h
@@ -3,7 +3,7 @@
    Each host has the modules that share state between hosts: view, members,
    peers, terms and sync, and also failover if a database is added.  Hosts
    send messages over sim_net, use the key-value service of sim_platform and
-   reach the instances over sim_gate.  All run in virtual time.  */
+   reach the instances over sim_db_net.  All run in virtual time.  */
 
 #ifndef SAVORYWAY_TESTS_SIM_CONTROL_H
 #define SAVORYWAY_TESTS_SIM_CONTROL_H
@@ -13,7 +13,7 @@
 #include "core/sync.h"
 #include "core/terms.h"
 #include "core/view.h"
-#include "sim_gate.h"
+#include "sim_db_net.h"
 #include "sim_instance.h"
 #include "sim_net.h"
 #include "sim_platform.h"
@@ -34,7 +34,7 @@
   /* The database "t/s/d" with the instances "a", "b" and "c"; NULL unless
      added.  */
   struct sim_world *world;
-  struct sim_gate gate;
+  struct sim_db_net db_net;
   struct sim_instance *instances[SIM_INSTANCES];
   struct db_port *writer_port; /* of a test's writer; freed with the world */
 };
@@ -45,8 +45,8 @@
                        size_t host_count, const char *const *domains);
 /* Adds the database with one instance in each of DOMAINS, and writes its
    configuration as revision 1.  Called before hosts are started.  */
-void sim_control_database (struct sim_control *control,
-                           const char *const *domains);
+void sim_control_add_database (struct sim_control *control,
+                               const char *const *domains);
 /* Returns the full name of an instance, such as "t/s/d/a".  */
 const char *sim_control_instance_name (size_t instance);
 
@@ -62,7 +62,7 @@
 void sim_control_kill (struct sim_control *control, size_t index);
 
 /* Replaces the platform's list of hosts with the hosts that are alive.  */
-void sim_control_list (struct sim_control *control);
+void sim_control_publish_hosts (struct sim_control *control);
 
 /* Cuts or heals the network between hosts A and B.  */
 void sim_control_cut (struct sim_control *control, size_t a, size_t b,
