--- a/tests/fuzz/sim_db_net.h
+++ b/tests/fuzz/sim_db_net.h
@@ -6,8 +6,8 @@
    healed; a connection opened or used during the cut is closed 5 s later at
    the latest.  */
 
-#ifndef SAVORYWAY_TESTS_SIM_GATE_H
-#define SAVORYWAY_TESTS_SIM_GATE_H
+#ifndef SAVORYWAY_TESTS_SIM_DB_NET_H
+#define SAVORYWAY_TESTS_SIM_DB_NET_H
 
 #include "port/db_port.h"
 #include "sim_core.h"
--- a/tests/fuzz/sim_net.c
+++ b/tests/fuzz/sim_net.c
@@ -101,8 +101,8 @@
 }
 
 static void
-finish (struct sim_net_port *port, uint64_t id, enum peer_status status,
-        const peer_message *reply)
+finish_call (struct sim_net_port *port, uint64_t id, enum peer_status status,
+             const peer_message *reply)
 {
   struct sim_net_call *call = remove_call (port, id);
   if (call == NULL)
@@ -121,13 +121,13 @@
   peer_message message;
   if (packet->kind == PACKET_FAILED)
     {
-      finish (port, packet->id, packet->status, NULL);
+      finish_call (port, packet->id, packet->status, NULL);
       return;
     }
   if (!decode (packet, &message))
     abort ();
   if (packet->kind == PACKET_REPLY)
-    finish (port, packet->id, PEER_OK, &message);
+    finish_call (port, packet->id, PEER_OK, &message);
   else if (port->handler != NULL)
     port->handler (port->handler_arg,
                    ((uint64_t)packet->from << CALLER_SHIFT) | packet->id,
@@ -180,7 +180,7 @@
 timed_out (void *arg)
 {
   struct sim_net_call *call = arg;
-  finish (call->port, call->id, PEER_TIMEOUT, NULL);
+  finish_call (call->port, call->id, PEER_TIMEOUT, NULL);
 }
 
 static uint64_t
--- a/tests/fuzz/sim_platform.c
+++ b/tests/fuzz/sim_platform.c
@@ -122,8 +122,8 @@
 }
 
 static void
-store (struct sim_platform *platform, const char *name, const char *value,
-       size_t bytes)
+store_value (struct sim_platform *platform, const char *name,
+             const char *value, size_t bytes)
 {
   struct sim_key *key = find_key (platform, name);
   if (key == NULL)
@@ -153,7 +153,7 @@
       const struct platform_write *w = &call->writes[i];
       struct sim_key *key = find_key (platform, w->key);
       if (!w->erase)
-        store (platform, w->key, w->value, w->value_bytes);
+        store_value (platform, w->key, w->value, w->value_bytes);
       else if (key != NULL)
         erase_key (platform, key);
     }
@@ -169,8 +169,8 @@
 }
 
 static uint64_t
-index_for (const struct sim_platform *platform,
-           const struct sim_platform_call *call)
+current_index (const struct sim_platform *platform,
+               const struct sim_platform_call *call)
 {
   return call->kind == PLATFORM_HOSTS ? platform->hosts_index
                                       : platform->index;
@@ -239,7 +239,7 @@
 {
   struct call_event *e = event_new (platform, call, STEP_ANSWER);
   e->reply.status = status;
-  e->reply.index = index_for (platform, call);
+  e->reply.index = current_index (platform, call);
   if (with_data && call->kind == PLATFORM_HOSTS)
     fill_hosts (platform, &e->reply);
   else if (with_data)
@@ -317,7 +317,7 @@
     }
   if (is_read (call))
     {
-      if (index_for (platform, call) <= call->wait_index
+      if (current_index (platform, call) <= call->wait_index
           && platform->sim->clk.now_ms < call->wait_until_ms)
         return;
       platform->reads++;
@@ -443,7 +443,7 @@
                   const char *value)
 {
   platform->index++;
-  store (platform, key, value, strlen (value));
+  store_value (platform, key, value, strlen (value));
   run_blocked_reads (platform);
 }
 
--- a/tests/fuzz/sim_rig.h
+++ b/tests/fuzz/sim_rig.h
@@ -20,6 +20,7 @@
 #include "core/terms.h"
 #include "sim_instance.h"
 
+/* Limits of rig_options.  Each database has RIG_INSTANCES instances.  */
 #define RIG_HOSTS 17
 #define RIG_DOMAINS 4
 #define RIG_DATABASES 3
--- a/tests/fuzz/sim_run.h
+++ b/tests/fuzz/sim_run.h
@@ -120,6 +120,7 @@
 /* As run_read, for the key of the latest write.  */
 void run_read_latest (struct run *run, size_t host, size_t session,
                       enum freshness freshness);
+/* Retries the session's latest write outside a transaction.  */
 void run_retry (struct run *run, size_t host, size_t session);
 /* Breaks the callers' connections to HOST; SIZE_MAX stands for all hosts.  */
 void run_calls_disconnect (struct run *run, size_t host);
--- a/tests/fuzz/sim_steps.c
+++ b/tests/fuzz/sim_steps.c
@@ -8,9 +8,9 @@
 #define LONGEST_WAIT_MS 3000
 #define SHORT_WAIT_MS 40
 
-/* Actions of a step.  Each is selected by the values of the step's first byte
-   from the previous bound up to its own; the rest, up to 255, are faults of
-   the platform.  */
+/* Actions of a step.  The first byte of a step, one of 256 values, selects the
+   action whose bound is the lowest above it; values from STEP_NETWORK up
+   select faults of the platform.  */
 enum step_limit
 {
   STEP_WRITE = 70,
