--- a/tests/fuzz/sim_db_net.h
+++ b/tests/fuzz/sim_db_net.h
@@ -1,12 +1,13 @@
-/* sim_db_net - the database port of each host in a virtual run.
+/* sim_db_net - the simulated network between hosts and database instances.
 
-   Stands between a host and the instances: delays what passes, delivers
-   through the host's inbox, and cuts hosts from instances.  What a cut
-   swallowed is never delivered; the connection ends when the cut heals, or
-   after a timeout.  */
+   Wraps the db_port of each host: delays results, delivers them through the
+   host's inbox, and can cut a host from an instance.  Jobs and results lost
+   to a cut are never delivered.  Their connection is closed when the cut is
+   healed; a connection opened or used during the cut is closed 5 s later at
+   the latest.  */
 
-#ifndef SAVORYWAY_TESTS_SIM_GATE_H
-#define SAVORYWAY_TESTS_SIM_GATE_H
+#ifndef SAVORYWAY_TESTS_SIM_DB_NET_H
+#define SAVORYWAY_TESTS_SIM_DB_NET_H
 
 #include "port/db_port.h"
 #include "sim_core.h"
@@ -31,22 +32,24 @@
   uint64_t next_id;
   struct sim_db_net_port ports[SIM_HOSTS];
   struct sim_db_net_conn *conns;
-  bool cut[SIM_HOSTS][SIM_INSTANCES];
+  bool cut[SIM_HOSTS][SIM_INSTANCES]; /* host cut from instance */
 };
 
-/* The caller sets inner of each port.  */
+/* Sets up one port a host.  The caller must set inner of each port before its
+   first use.  */
 void sim_db_net_init (struct sim_db_net *db_net, struct sim *sim,
                       uint16_t first_port);
+/* Frees all connections.  The inner ports stay the caller's.  */
 void sim_db_net_clear (struct sim_db_net *db_net);
 
-/* Cuts or joins a host and an instance.  */
+/* Cuts or heals the network between a host and an instance.  */
 void sim_db_net_cut (struct sim_db_net *db_net, size_t host, size_t instance,
                      bool cut);
 
-/* Breaks all connections of a host that died.  */
+/* Frees all connections of a dead host, without calling it.  */
 void sim_db_net_kill (struct sim_db_net *db_net, size_t host);
 
-/* Returns how many connections HOST has.  */
+/* Returns the number of connections of HOST.  */
 size_t sim_db_net_conns (const struct sim_db_net *db_net, size_t host);
 
 #endif
