--- a/src/cli/caller_answer.c
+++ b/src/cli/caller_answer.c
@@ -9,8 +9,8 @@
 
 #define MS_PER_S 1000
 
-/* Status of an answer that says nothing about the statement itself, of a
-   statement that was not run as well as of a look-up; 0 for all others.  */
+/* Returns the status for a reason that rejects the request itself, a statement
+   as well as a look-up, whatever the outcome; 0 for other reasons.  */
 static int
 refusal_status (enum reason reason)
 {
@@ -41,7 +41,7 @@
     {
     case REASON_BAD_TRANSACTION:
     case REASON_TOKEN_AHEAD:
-    case REASON_CONNECTION_LOST: /* the request id can't run any more */
+    case REASON_CONNECTION_LOST: /* a retry with this request id can't run */
       return 409;
     case REASON_SQL_ERROR:
       return 422;
@@ -65,8 +65,8 @@
     json_object_set_new (object, key, json_string (text));
 }
 
-/* The result is JSON text already; it is not parsed again.  HEAD loses its
-   closing brace.  */
+/* Appends the result, which is JSON text already, without parsing it.  Cuts
+   the closing brace off HEAD.  */
 static char *
 join_result (char *head, const struct entry_answer *answer)
 {
--- a/src/cli/caller_answer.h
+++ b/src/cli/caller_answer.h
@@ -1,10 +1,10 @@
-/* caller_answer - an entry's answer as HTTP status and JSON.
+/* caller_answer - formats an answer of the entry as HTTP status and JSON.
 
      outcome   reason                                          status
      done                                                      200
      not_run   bad_transaction, token_ahead, connection_lost   409
                sql_error                                       422
-               all others, to be tried again after Retry-After 503
+               all others; retry after Retry-After             503
      unknown   any                                             504
      either    bad_token                                       400
                forbidden                                       403
@@ -15,12 +15,14 @@
 
 #include "core/entry.h"
 
+/* Returns the HTTP status for ANSWER.  */
 int caller_answer_status (const struct entry_answer *answer);
 
 /* Returns the JSON text of ANSWER; the caller frees it.  */
 char *caller_answer_print (const struct entry_answer *answer);
 
-/* Returns the value of Retry-After in seconds, rounded up; 0 for none.  */
+/* Returns the value of Retry-After in seconds, rounded up; 0 if the header is
+   to be omitted.  */
 int64_t caller_answer_retry_s (const struct entry_answer *answer);
 
 #endif
--- a/src/cli/caller_request.c
+++ b/src/cli/caller_request.c
@@ -18,9 +18,11 @@
 #define HANDLE_LIMIT_BYTES 256
 #define SERVICE_LIMIT_BYTES 128
 #define CREDENTIALS_LIMIT_BYTES 512
+
+/* Longest deadline that a caller may set.  */
 #define DEADLINE_LIMIT_MS 300000
 
-/* A request being read.  */
+/* State of parsing one request.  */
 struct reader
 {
   struct caller_request *request;
@@ -38,15 +40,18 @@
   return false;
 }
 
-/* Adds a finding about the body; reading goes on to find others.  */
+/* Adds a finding.  Parsing continues, so that all findings are reported at
+   once.  */
 static void
-find_fault (struct reader *reader, const char *place, const char *text)
+add_finding (struct reader *reader, const char *place, const char *text)
 {
   refuse (reader, 400, "bad_request", place, text);
 }
 
+/* Returns whether TEXT has 1 to LIMIT_BYTES printable characters without
+   blanks.  */
 static bool
-is_handle (const char *text, size_t limit_bytes)
+is_opaque_id (const char *text, size_t limit_bytes)
 {
   size_t length = strlen (text);
   if (length == 0 || length > limit_bytes)
@@ -57,7 +62,7 @@
   return true;
 }
 
-/* Reads "Basic BASE64" into name and secret.  */
+/* Parses "Basic BASE64" into name and secret.  */
 static bool
 read_credentials (struct reader *reader)
 {
@@ -99,19 +104,20 @@
   const char *request_id = reader->input->request_id;
   if (!read_credentials (reader))
     return false;
-  if (session != NULL && !is_handle (session, TOKEN_LIMIT_BYTES))
-    find_fault (reader, "Savoryway-Session", "is malformed or too long");
-  if (request_id != NULL && !is_handle (request_id, REQUEST_ID_BYTES))
-    find_fault (reader, "Savoryway-Request-Id",
-                "is not 1 to 64 printable characters without blanks");
+  if (session != NULL && !is_opaque_id (session, TOKEN_LIMIT_BYTES))
+    add_finding (reader, "Savoryway-Session", "is malformed or too long");
+  if (request_id != NULL && !is_opaque_id (request_id, REQUEST_ID_BYTES))
+    add_finding (reader, "Savoryway-Request-Id",
+                 "is not 1 to 64 printable characters without blanks");
   entry->token = session;
   entry->request_id = request_id;
   return true;
 }
 
-/* Takes the handle in "/v1/transaction/HANDLE/VERB"; returns the verb.  */
+/* Copies the handle of "/v1/transaction/HANDLE/VERB" and returns the verb; ""
+   if there is none.  */
 static const char *
-split_transaction (struct reader *reader)
+split_transaction_path (struct reader *reader)
 {
   const char *handle = reader->input->path + strlen (TRANSACTION_PATH) + 1;
   const char *slash = strchr (handle, '/');
@@ -122,9 +128,9 @@
   return slash + 1;
 }
 
-/* Finds the action of a path below TRANSACTION_PATH.  */
+/* Sets the action of a path below TRANSACTION_PATH.  */
 static bool
-read_verb (struct reader *reader)
+read_transaction_action (struct reader *reader)
 {
   static const struct
   {
@@ -133,21 +139,21 @@
   } verbs[] = { { "statement", ENTRY_EXECUTE },
                 { "commit", ENTRY_COMMIT },
                 { "rollback", ENTRY_ROLLBACK } };
-  const char *verb = split_transaction (reader);
+  const char *verb = split_transaction_path (reader);
   for (size_t i = 0; i < sizeof verbs / sizeof verbs[0]; i++)
     if (strcmp (verb, verbs[i].name) == 0)
       {
         reader->request->entry.action = verbs[i].action;
-        return is_handle (reader->request->transaction, HANDLE_LIMIT_BYTES)
+        return is_opaque_id (reader->request->transaction, HANDLE_LIMIT_BYTES)
                || refuse (reader, 404, "not_found", "path",
                           "no such transaction");
       }
   return refuse (reader, 404, "not_found", "path", "no such resource");
 }
 
-/* Finds the action from method and path.  */
+/* Sets the action from method and path.  */
 static bool
-read_target (struct reader *reader)
+read_action (struct reader *reader)
 {
   const char *path = reader->input->path;
   const char *method = reader->input->method;
@@ -165,7 +171,7 @@
   else if (strncmp (path, TRANSACTION_PATH "/", strlen (TRANSACTION_PATH) + 1)
            == 0)
     {
-      if (!read_verb (reader))
+      if (!read_transaction_action (reader))
         return false;
     }
   else
@@ -175,6 +181,8 @@
   return true;
 }
 
+/* Returns the string member KEY of the body; NULL if it is absent or invalid,
+   in the latter case after adding a finding.  */
 static const char *
 read_text (struct reader *reader, const char *key, size_t limit_bytes)
 {
@@ -184,13 +192,13 @@
   const char *text = json_string_value (value);
   if (text == NULL || strlen (text) != json_string_length (value))
     {
-      find_fault (reader, key, "must be a string without NUL");
+      add_finding (reader, key, "must be a string without NUL");
       return NULL;
     }
   if (json_string_length (value) == 0
       || json_string_length (value) > limit_bytes)
     {
-      find_fault (reader, key, "is empty or too long");
+      add_finding (reader, key, "is empty or too long");
       return NULL;
     }
   return text;
@@ -221,8 +229,8 @@
       break;
     }
   place = mem_printf ("params[%zu]", index);
-  find_fault (reader, place,
-              "must be a string without NUL, number, boolean or null");
+  add_finding (reader, place,
+               "must be a string without NUL, number, boolean or null");
   free (place);
   return NULL;
 }
@@ -238,7 +246,7 @@
     return;
   if (!json_is_array (params) || json_array_size (params) > CALLER_PARAM_LIMIT)
     {
-      find_fault (reader, "params", "must be an array of at most 256 values");
+      add_finding (reader, "params", "must be an array of at most 256 values");
       return;
     }
   json_array_foreach (params, i, value)
@@ -257,7 +265,7 @@
     return;
   json_int_t deadline_ms = json_integer_value (value);
   if (deadline_ms < 1 || deadline_ms > DEADLINE_LIMIT_MS)
-    find_fault (reader, "deadline_ms", "must be a number from 1 to 300000");
+    add_finding (reader, "deadline_ms", "must be a number from 1 to 300000");
   else
     reader->request->entry.deadline_ms = deadline_ms;
 }
@@ -267,11 +275,12 @@
 {
   json_t *value = json_object_get (reader->request->body, "retry");
   if (value != NULL && !json_is_boolean (value))
-    find_fault (reader, "retry", "must be true or false");
+    add_finding (reader, "retry", "must be true or false");
   reader->request->entry.retry = json_is_true (value);
 }
 
-/* Reports members that no request has, so that a misspelt one is seen.  */
+/* Rejects unknown members of the body, so that a misspelt one is not silently
+   ignored.  */
 static void
 check_members (struct reader *reader)
 {
@@ -286,7 +295,7 @@
     while (i < sizeof known / sizeof known[0] && strcmp (key, known[i]) != 0)
       i++;
     if (i == sizeof known / sizeof known[0])
-      find_fault (reader, key, "is not known");
+      add_finding (reader, key, "is not known");
   }
 }
 
@@ -295,26 +304,26 @@
 {
   const char *service = reader->request->entry.service;
   if (service == NULL)
-    find_fault (reader, "service", "is required, as TEAM/SERVICE");
+    add_finding (reader, "service", "is required, as TEAM/SERVICE");
 }
 
 static void
 read_members (struct reader *reader)
 {
   struct entry_request *entry = &reader->request->entry;
-  bool runs
+  bool has_statement
       = entry->action == ENTRY_STATEMENT || entry->action == ENTRY_EXECUTE;
   entry->service = read_text (reader, "service", SERVICE_LIMIT_BYTES);
   entry->database = read_text (reader, "database", NAME_BYTES - 1);
   entry->kind = read_text (reader, "kind", NAME_BYTES - 1);
   entry->statement = read_text (reader, "statement", PEER_TEXT_LIMIT);
   const char *id = read_text (reader, "request_id", REQUEST_ID_BYTES);
-  if (id != NULL && !is_handle (id, REQUEST_ID_BYTES))
-    find_fault (reader, "request_id",
-                "is not 1 to 64 printable characters without blanks");
+  if (id != NULL && !is_opaque_id (id, REQUEST_ID_BYTES))
+    add_finding (reader, "request_id",
+                 "is not 1 to 64 printable characters without blanks");
   if (id != NULL && entry->request_id != NULL
       && strcmp (id, entry->request_id) != 0)
-    find_fault (reader, "request_id", "differs from Savoryway-Request-Id");
+    add_finding (reader, "request_id", "differs from Savoryway-Request-Id");
   if (id != NULL)
     entry->request_id = id;
   read_params (reader);
@@ -322,8 +331,9 @@
   read_retry (reader);
   check_service (reader);
   check_members (reader);
-  if (runs && json_object_get (reader->request->body, "statement") == NULL)
-    find_fault (reader, "statement", "is required");
+  if (has_statement
+      && json_object_get (reader->request->body, "statement") == NULL)
+    add_finding (reader, "statement", "is required");
 }
 
 static bool
@@ -348,9 +358,9 @@
   return reader->fault->status == 0;
 }
 
-/* Copies NAME of a parsed query to OUT.  */
+/* Copies the parameter NAME of QUERY to OUT, unless it is absent or empty.  */
 static void
-take_query (const struct evkeyvalq *query, const char *name, char **out)
+copy_query_param (const struct evkeyvalq *query, const char *name, char **out)
 {
   const char *value = evhttp_find_header (query, name);
   if (value != NULL && *value != '\0')
@@ -365,8 +375,8 @@
   const char *text = reader->input->query;
   if (evhttp_parse_query_str (text != NULL ? text : "", &query) != 0)
     return refuse (reader, 400, "bad_request", "query", "is malformed");
-  take_query (&query, "service", &request->service);
-  take_query (&query, "database", &request->database);
+  copy_query_param (&query, "service", &request->service);
+  copy_query_param (&query, "database", &request->database);
   evhttp_clear_headers (&query);
   request->request_id
       = mem_strdup (reader->input->path + strlen (REQUEST_PATH));
@@ -374,8 +384,8 @@
   request->entry.database = request->database;
   request->entry.request_id = request->request_id;
   check_service (reader);
-  if (!is_handle (request->request_id, REQUEST_ID_BYTES))
-    find_fault (reader, "path", "the request id is empty or too long");
+  if (!is_opaque_id (request->request_id, REQUEST_ID_BYTES))
+    add_finding (reader, "path", "the request id is empty or too long");
   return reader->fault->status == 0;
 }
 
@@ -388,7 +398,7 @@
       = { .request = request, .input = input, .fault = fault };
   memset (request, 0, sizeof *request);
   memset (fault, 0, sizeof *fault);
-  if (!read_target (&reader) || !read_headers (&reader))
+  if (!read_action (&reader) || !read_headers (&reader))
     return false;
   if (request->entry.action == ENTRY_LOOKUP)
     return read_lookup (&reader);
--- a/src/cli/caller_request.h
+++ b/src/cli/caller_request.h
@@ -1,7 +1,8 @@
-/* caller_request - reads a caller's HTTP request into an entry_request.
+/* caller_request - parses a caller's HTTP request into an entry_request.
 
-   Knows nothing of sockets: it gets the parts of the request and returns
-   either a request for the entry or a fault with an HTTP status.  */
+   Independent of the HTTP library's connections: takes the parts of a request
+   as strings, and returns either a request for the entry or an error with an
+   HTTP status.  */
 
 #ifndef SAVORYWAY_CLI_CALLER_REQUEST_H
 #define SAVORYWAY_CLI_CALLER_REQUEST_H
@@ -11,22 +12,24 @@
 #include "core/entry.h"
 #include "core/view.h"
 
+/* Maximum number of parameters of a statement.  */
 #define CALLER_PARAM_LIMIT 256UL
 
-/* What came over HTTP; strings may be NULL.  */
+/* Parts of the HTTP request.  Strings may be NULL, except method and path.  */
 struct caller_input
 {
-  const char *method; /* "GET", "POST" or another */
-  const char *path;   /* decoded, without the query */
-  const char *query;  /* encoded, without '?' */
-  const char *authorization;
-  const char *session;
-  const char *request_id;
-  const char *body; /* not NUL-terminated */
+  const char *method;        /* "GET", "POST" or another */
+  const char *path;          /* decoded, without the query */
+  const char *query;         /* encoded, without '?' */
+  const char *authorization; /* header Authorization */
+  const char *session;       /* header Savoryway-Session */
+  const char *request_id;    /* header Savoryway-Request-Id */
+  const char *body;          /* not NUL-terminated */
   size_t body_bytes;
 };
 
-/* A request read; owns what ENTRY points to.  */
+/* A parsed request.  Owns most strings of entry; its token and the request id
+   of a header are borrowed from the input.  */
 struct caller_request
 {
   struct entry_request entry;
@@ -39,22 +42,25 @@
   char *params[CALLER_PARAM_LIMIT];
 };
 
-/* Why a request could not be read.  */
+/* Reason for rejecting a request.  */
 struct caller_fault
 {
-  int status; /* HTTP status, 4xx */
-  const char *code;
+  int status;       /* HTTP status, 4xx */
+  const char *code; /* such as "bad_request"; static */
   struct findings findings;
 };
 
-/* Reads INPUT.  Returns false with FAULT set if it is malformed.  REQUEST
-   is to be cleared either way.  */
+/* Parses INPUT.  Returns false with FAULT set if it is malformed.  Call
+   caller_request_clear on REQUEST in either case.  */
 bool caller_request_read (struct caller_request *request,
                           const struct caller_input *input,
                           struct caller_fault *fault);
+
+/* Frees what REQUEST owns.  */
 void caller_request_clear (struct caller_request *request);
 
-/* Returns the JSON text of FAULT, to be freed, and clears its findings.  */
+/* Returns the JSON text of FAULT, which the caller frees, and clears its
+   findings.  */
 char *caller_fault_print (struct caller_fault *fault);
 
 #endif
--- a/src/cli/event_loop.c
+++ b/src/cli/event_loop.c
@@ -21,7 +21,7 @@
   clk->ops = &boottime_ops;
 }
 
-/* Only wakes the loop.  */
+/* Does nothing; the timer only wakes the loop.  */
 static void
 on_timer (evutil_socket_t fd, short what, void *arg)
 {
--- a/src/cli/event_loop.h
+++ b/src/cli/event_loop.h
@@ -1,4 +1,4 @@
-/* event_loop - joins libevent's loop and the kernel's timers.  */
+/* event_loop - runs the kernel's timers on an event loop of libevent.  */
 
 #ifndef SAVORYWAY_CLI_EVENT_LOOP_H
 #define SAVORYWAY_CLI_EVENT_LOOP_H
@@ -7,18 +7,19 @@
 
 #include "kernel/kernel.h"
 
-/* Makes CLK a clock that also counts the time in which the machine was
-   suspended: leases and ages go on then.  */
+/* Initialises CLK as a monotonic clock that includes time in which the machine
+   is suspended, since leases expire and samples age during that too.  */
 void event_loop_clock (struct clk *clk);
 
-/* Returns a timer for event_loop_once.  */
+/* Returns a timer for event_loop_once, to be freed with event_free.  */
 struct event *event_loop_timer (struct event_base *base);
 
-/* Waits for events or the kernel's next due time, whichever is first.  */
+/* Waits for an event or the kernel's next due time, whichever is first, and
+   runs the callbacks that are due.  */
 void event_loop_once (struct event_base *base, struct event *timer,
                       struct kernel *kernel);
 
-/* Lets the process have as many descriptors as its hard limit allows.  */
+/* Raises the limit of open file descriptors to the hard limit.  */
 void event_loop_raise_descriptors (void);
 
 #endif
--- a/src/cli/http_basic.c
+++ b/src/cli/http_basic.c
@@ -7,13 +7,14 @@
 
 #include "kernel/mem.h"
 
-#define LIMIT_BYTES 512
+/* Buffer size for the decoded NAME:SECRET, with its NUL.  */
+#define DECODED_BYTES 512
 
 bool
 http_basic_parse (struct http_basic *basic, const char *header)
 {
   static const char scheme[] = "Basic ";
-  unsigned char plain[LIMIT_BYTES];
+  unsigned char plain[DECODED_BYTES];
   size_t length = 0;
   *basic = (struct http_basic){ 0 };
   if (header == NULL || strncasecmp (header, scheme, sizeof scheme - 1) != 0)
--- a/src/cli/http_caller.c
+++ b/src/cli/http_caller.c
@@ -13,8 +13,8 @@
 
 #define JSON_TYPE "application/json"
 
-/* A request that the entry has.  evhttp keeps it, also when its connection
-   closes, until it is answered.  */
+/* A request submitted to the entry.  evhttp keeps REQUEST valid until its
+   reply, even if the connection closes earlier.  */
 struct pending
 {
   struct http_caller *caller;
@@ -31,7 +31,7 @@
 };
 
 static void
-count (struct http_caller *caller, int status)
+count_response (struct http_caller *caller, int status)
 {
   char name[64];
   if (caller->options.metrics == NULL)
@@ -68,14 +68,14 @@
 }
 
 static void
-answered (void *arg, const struct entry_answer *answer)
+on_answer (void *arg, const struct entry_answer *answer)
 {
   struct pending *pending = arg;
   struct http_caller *caller = pending->caller;
   struct evhttp_request *request = pending->request;
   int status = caller_answer_status (answer);
   pending_free (pending);
-  count (caller, status);
+  count_response (caller, status);
   add_answer_headers (request, answer);
   http_server_reply (caller->options.server, request, status, JSON_TYPE,
                      caller_answer_print (answer));
@@ -105,18 +105,18 @@
                        "Basic realm=\"savoryway\"");
   if (fault->status == 405)
     evhttp_add_header (headers, "Allow", fault->findings.items[0].text);
-  count (caller, fault->status);
+  count_response (caller, fault->status);
   http_server_reply (caller->options.server, request, fault->status, JSON_TYPE,
                      caller_fault_print (fault));
 }
 
 static void
-refuse_full (struct http_caller *caller, struct evhttp_request *request)
+refuse_overload (struct http_caller *caller, struct evhttp_request *request)
 {
   struct entry_answer answer
       = { .outcome = OUTCOME_NOT_RUN, .reason = REASON_OVERLOAD };
   add_answer_headers (request, &answer);
-  count (caller, 503);
+  count_response (caller, 503);
   http_server_reply (caller->options.server, request, 503, JSON_TYPE,
                      caller_answer_print (&answer));
 }
@@ -130,7 +130,7 @@
   pending->request = request;
   DL_APPEND (caller->pending, pending);
   caller->pending_count++;
-  caller->options.submit (caller->options.entry, entry, answered, pending);
+  caller->options.submit (caller->options.entry, entry, on_answer, pending);
 }
 
 static void
@@ -156,7 +156,7 @@
   struct http_caller *caller = arg;
   const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri (request);
   struct caller_input input = { 0 };
-  struct caller_request read;
+  struct caller_request parsed;
   struct caller_fault fault;
   if (uri == NULL)
     {
@@ -165,17 +165,17 @@
     }
   if (http_server_full (caller->options.server))
     {
-      refuse_full (caller, request);
+      refuse_overload (caller, request);
       return;
     }
   const char *encoded = evhttp_uri_get_path (uri);
   char *path = evhttp_uridecode (encoded != NULL ? encoded : "", 0, NULL);
   fill_input (&input, request, path != NULL ? path : "");
-  if (caller_request_read (&read, &input, &fault))
-    submit (caller, request, &read.entry);
+  if (caller_request_read (&parsed, &input, &fault))
+    submit (caller, request, &parsed.entry);
   else
     refuse (caller, request, &fault);
-  caller_request_clear (&read);
+  caller_request_clear (&parsed);
   free (path);
 }
 
--- a/src/cli/http_caller.h
+++ b/src/cli/http_caller.h
@@ -1,7 +1,8 @@
-/* http_caller - the callers' interface over HTTP; see docs/API.md.
+/* http_caller - the callers' HTTP API; see docs/API.md.
 
-   Each request is answered with what the entry reports.  A request goes on
-   to its end when its caller disconnects; only the answer is dropped.  */
+   Parses each request, submits it to the entry and sends the entry's answer
+   as the response.  If a caller disconnects, its request still runs to
+   completion and only the response is dropped.  */
 
 #ifndef SAVORYWAY_CLI_HTTP_CALLER_H
 #define SAVORYWAY_CLI_HTTP_CALLER_H
@@ -14,9 +15,9 @@
 
 struct http_caller_options
 {
-  struct http_server *server; /* its requests go to this interface */
+  struct http_server *server; /* listener whose requests are handled */
   struct entry *entry;
-  /* Takes a request: entry_submit, or a test's own.  */
+  /* Submits a request to the entry: entry_submit, or a test's stub.  */
   void (*submit) (struct entry *entry, const struct entry_request *request,
                   entry_done done, void *arg);
   struct metrics *metrics; /* may be NULL */
@@ -25,11 +26,11 @@
 struct http_caller *
 http_caller_new (const struct http_caller_options *options);
 
-/* To be freed after the entry, which may still report until then, and
-   before the server.  */
+/* Drops the pending requests.  Must be called after the entry is freed, which
+   may call back until then, and before the server is freed.  */
 void http_caller_free (struct http_caller *caller);
 
-/* Requests not answered yet.  */
+/* Returns the number of requests without an answer.  */
 size_t http_caller_pending (const struct http_caller *caller);
 
 #endif
--- a/src/cli/http_client.c
+++ b/src/cli/http_client.c
@@ -13,12 +13,12 @@
 
 #define DEFAULT_TIMEOUT_MS 30000
 
-/* The one exchange under way.  */
+/* State of one call.  */
 struct exchange
 {
   struct event_base *base;
   struct http_client_answer *answer;
-  const char *failure;
+  const char *failure; /* reported if no response arrives */
 };
 
 char *
@@ -26,11 +26,11 @@
 {
   char *plain = mem_printf ("%s:%s", user, password != NULL ? password : "");
   size_t length = strlen (plain);
-  size_t room
+  size_t encoded_bytes
       = sodium_base64_encoded_len (length, sodium_base64_VARIANT_ORIGINAL);
-  char *encoded = mem_zalloc (room);
-  sodium_bin2base64 (encoded, room, (const unsigned char *)plain, length,
-                     sodium_base64_VARIANT_ORIGINAL);
+  char *encoded = mem_zalloc (encoded_bytes);
+  sodium_bin2base64 (encoded, encoded_bytes, (const unsigned char *)plain,
+                     length, sodium_base64_VARIANT_ORIGINAL);
   char *value = mem_printf ("Basic %s", encoded);
   sodium_memzero (plain, length);
   free (plain);
@@ -51,7 +51,7 @@
 }
 
 static void
-keep_failure (enum evhttp_request_error error, void *arg)
+on_error (enum evhttp_request_error error, void *arg)
 {
   static const char *const names[] = {
     [EVREQ_HTTP_TIMEOUT] = "no answer in time",
@@ -67,7 +67,7 @@
 }
 
 static void
-keep_answer (struct evhttp_request *request, void *arg)
+on_response (struct evhttp_request *request, void *arg)
 {
   struct exchange *exchange = arg;
   struct http_client_answer *answer = exchange->answer;
@@ -89,48 +89,47 @@
 
 static void
 add_headers (struct evhttp_request *request,
-             const struct http_client_request *wanted)
+             const struct http_client_request *spec)
 {
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
-  char *host = mem_printf ("%s:%u", wanted->address, (unsigned)wanted->port);
+  char *host = mem_printf ("%s:%u", spec->address, (unsigned)spec->port);
   evhttp_add_header (headers, "Host", host);
   evhttp_add_header (headers, "Connection", "close");
   free (host);
-  if (wanted->body != NULL)
+  if (spec->body != NULL)
     evhttp_add_header (headers, "Content-Type", "application/json");
-  if (wanted->user != NULL)
+  if (spec->user != NULL)
     {
-      char *value = http_client_basic (wanted->user, wanted->password);
+      char *value = http_client_basic (spec->user, spec->password);
       evhttp_add_header (headers, "Authorization", value);
       free (value);
     }
-  for (size_t i = 0; i < wanted->header_count; i++)
-    evhttp_add_header (headers, wanted->headers[i].name,
-                       wanted->headers[i].value);
+  for (size_t i = 0; i < spec->header_count; i++)
+    evhttp_add_header (headers, spec->headers[i].name, spec->headers[i].value);
 }
 
-/* Starts the request and runs the loop until it has ended.  */
+/* Sends the request and runs the loop until it completes or fails.  */
 static void
 exchange_run (struct exchange *exchange, struct evhttp_connection *connection,
-              const struct http_client_request *wanted)
+              const struct http_client_request *spec)
 {
   clk_ms timeout_ms
-      = wanted->timeout_ms > 0 ? wanted->timeout_ms : DEFAULT_TIMEOUT_MS;
+      = spec->timeout_ms > 0 ? spec->timeout_ms : DEFAULT_TIMEOUT_MS;
   struct timeval timeout
       = { .tv_sec = timeout_ms / 1000, .tv_usec = timeout_ms % 1000 * 1000 };
   evhttp_connection_set_timeout_tv (connection, &timeout);
   evhttp_connection_set_max_body_size (connection,
                                        HTTP_CLIENT_BODY_LIMIT_BYTES);
-  struct evhttp_request *request = evhttp_request_new (keep_answer, exchange);
+  struct evhttp_request *request = evhttp_request_new (on_response, exchange);
   if (request == NULL)
     return;
-  evhttp_request_set_error_cb (request, keep_failure);
-  add_headers (request, wanted);
-  if (wanted->body != NULL)
-    evbuffer_add (evhttp_request_get_output_buffer (request), wanted->body,
-                  wanted->body_bytes);
-  const char *path = wanted->path != NULL ? wanted->path : "/";
-  if (evhttp_make_request (connection, request, method_type (wanted->method),
+  evhttp_request_set_error_cb (request, on_error);
+  add_headers (request, spec);
+  if (spec->body != NULL)
+    evbuffer_add (evhttp_request_get_output_buffer (request), spec->body,
+                  spec->body_bytes);
+  const char *path = spec->path != NULL ? spec->path : "/";
+  if (evhttp_make_request (connection, request, method_type (spec->method),
                            path)
       == 0)
     event_base_dispatch (exchange->base);
--- a/src/cli/http_client.h
+++ b/src/cli/http_client.h
@@ -1,7 +1,8 @@
-/* http_client - one HTTP request from a command, answered or failed.
+/* http_client - blocking HTTP client for the subcommands.
 
-   Runs an event loop of its own until the answer is there, so it serves
-   commands, not the host process.  */
+   Each call opens a connection, sends one request and runs an event loop of
+   its own until the response arrives or the call fails.  The host process
+   must not use it, since it would block there.  */
 
 #ifndef SAVORYWAY_CLI_HTTP_CLIENT_H
 #define SAVORYWAY_CLI_HTTP_CLIENT_H
@@ -11,6 +12,7 @@
 
 #include "kernel/clock.h"
 
+/* Limit of the body of a response.  */
 #define HTTP_CLIENT_BODY_LIMIT_BYTES (32L * 1024 * 1024)
 
 struct http_client_header
@@ -24,35 +26,37 @@
   const char *method;  /* GET, POST, PUT or DELETE; NULL is GET */
   const char *address; /* IP number */
   uint16_t port;
-  const char *path; /* with the query; encoded by the caller */
-  const char *user; /* for Authorization: Basic; NULL for none */
+  const char *path; /* with the query, percent-encoded; NULL is "/" */
+  const char *user; /* for Basic authentication; NULL for none */
   const char *password;
   const struct http_client_header *headers;
   size_t header_count;
   const char *body; /* NULL for none */
   size_t body_bytes;
-  clk_ms timeout_ms; /* 0 is 30 s */
+  clk_ms timeout_ms; /* 0 is the default of 30 s */
 };
 
 struct http_client_answer
 {
-  int status; /* HTTP status; 0 when there was no answer */
-  char *body; /* NUL-terminated besides body_bytes; never NULL */
+  int status; /* HTTP status; 0 if there was no response */
+  char *body; /* NUL-terminated, which body_bytes excludes; never NULL */
   size_t body_bytes;
   char *session;     /* header Savoryway-Session; NULL if absent */
   char *retry_after; /* header Retry-After; NULL if absent */
-  char *error;       /* why there was no answer; NULL if there was one */
+  char *error;       /* reason if there was no response, else NULL */
 };
 
-/* Sends REQUEST and waits for its answer.  Returns 0 if an answer came, of
-   any HTTP status, and -1 if not.  ANSWER is to be cleared either way.  */
+/* Sends REQUEST and waits for the response.  Returns 0 if one was received,
+   whatever its HTTP status, else -1.  Call http_client_clear on ANSWER in
+   either case.  */
 int http_client_call (const struct http_client_request *request,
                       struct http_client_answer *answer);
 
+/* Frees the strings of ANSWER.  */
 void http_client_clear (struct http_client_answer *answer);
 
-/* Returns the value of an Authorization: Basic header; the caller frees
-   it.  */
+/* Returns the value of an Authorization header with Basic credentials; the
+   caller frees it.  PASSWORD may be NULL.  */
 char *http_client_basic (const char *user, const char *password);
 
 #endif
--- a/src/cli/http_config.c
+++ b/src/cli/http_config.c
@@ -13,15 +13,16 @@
 #include "core/conftree.h"
 #include "kernel/mem.h"
 
+/* Retry-After of a 503 response, in seconds.  */
 #define RETRY_AFTER_S "1"
 
-/* A request on its way through the core.  */
+/* A request that waits for the result of confedit.  */
 struct pending
 {
   struct http_config *config;
   struct evhttp_request *request;
-  char *team; /* NULL if not asked for */
-  char *path;
+  char *team; /* from the query; NULL if absent */
+  char *path; /* likewise */
   struct pending *prev;
   struct pending *next;
 };
@@ -52,9 +53,9 @@
   free (pending);
 }
 
-/* Answers PENDING and frees it.  */
+/* Replies to PENDING and frees it.  */
 static void
-answer (struct pending *pending, int status, json_t *body)
+reply (struct pending *pending, int status, json_t *body)
 {
   struct evhttp_request *request = pending->request;
   struct http_server *server = pending->config->server;
@@ -71,10 +72,11 @@
 static void
 refuse (struct pending *pending, int status, const char *text)
 {
-  answer (pending, status, json_pack ("{s:{s:s}}", "error", "text", text));
+  reply (pending, status, json_pack ("{s:{s:s}}", "error", "text", text));
 }
 
-/* Whether the method is METHOD; otherwise PENDING has been answered.  */
+/* Returns whether the request's method is METHOD.  If not, replies with 405
+   and frees PENDING.  */
 static bool
 expect_method (struct pending *pending, enum evhttp_cmd_type method)
 {
@@ -84,7 +86,8 @@
   return false;
 }
 
-/* Takes team and path from the query.  */
+/* Reads team and path from the query.  If it is malformed, replies with 400,
+   frees PENDING and returns false.  */
 static bool
 read_query (struct pending *pending)
 {
@@ -104,7 +107,8 @@
 }
 
 static void
-on_tree (void *arg, enum platform_status status, uint64_t index, json_t *json)
+on_team_read (void *arg, enum platform_status status, uint64_t index,
+              json_t *json)
 {
   struct pending *pending = arg;
   if (status == PLATFORM_NOT_FOUND)
@@ -121,9 +125,9 @@
   if (found == NULL)
     refuse (pending, 404, "nothing is at this path");
   else
-    answer (pending, 200,
-            json_pack ("{s:s, s:I, s:O}", "team", pending->team, "index",
-                       (json_int_t)index, "config", found));
+    reply (pending, 200,
+           json_pack ("{s:s, s:I, s:O}", "team", pending->team, "index",
+                      (json_int_t)index, "config", found));
 }
 
 static void
@@ -136,10 +140,11 @@
   if (pending->team == NULL)
     refuse (pending, 400, "team is required");
   else
-    confedit_read (config->confedit, pending->team, on_tree, pending);
+    confedit_read (config->confedit, pending->team, on_team_read, pending);
 }
 
-/* Returns HEAD with the changes of TEAM only, if that is not NULL.  */
+/* Returns revision and changes of HEAD, limited to the changes of TEAM unless
+   that is NULL.  */
 static json_t *
 select_changes (const json_t *head, const char *team)
 {
@@ -148,8 +153,10 @@
   json_t *changes = json_array ();
   json_array_foreach (json_object_get (head, "changes"), i, change)
   {
-    const char *of = json_string_value (json_object_get (change, "team"));
-    if (team == NULL || (of != NULL && strcmp (of, team) == 0))
+    const char *change_team
+        = json_string_value (json_object_get (change, "team"));
+    if (team == NULL
+        || (change_team != NULL && strcmp (change_team, team) == 0))
       json_array_append (changes, change);
   }
   return json_pack ("{s:I, s:o}", "revision",
@@ -163,9 +170,9 @@
   struct pending *pending = arg;
   (void)index;
   if (status == PLATFORM_OK)
-    answer (pending, 200, select_changes (json, pending->team));
+    reply (pending, 200, select_changes (json, pending->team));
   else if (status == PLATFORM_NOT_FOUND)
-    answer (pending, 200, json_pack ("{s:i, s:[]}", "revision", 0, "changes"));
+    reply (pending, 200, json_pack ("{s:i, s:[]}", "revision", 0, "changes"));
   else
     refuse (pending, 503, "the platform does not answer");
 }
@@ -191,7 +198,7 @@
 }
 
 static void
-on_changed (void *arg, const struct confedit_result *result)
+on_change_done (void *arg, const struct confedit_result *result)
 {
   static const int codes[] = {
     [CONFEDIT_DONE] = 200,        [CONFEDIT_INVALID] = 422,
@@ -206,10 +213,11 @@
       findings_json (result->findings));
   if (result->difference != NULL)
     json_object_set (body, "difference", (json_t *)result->difference);
-  answer (arg, codes[result->status], body);
+  reply (arg, codes[result->status], body);
 }
 
-/* Fills CHANGE from BODY; what it points to belongs to BODY and VALUE.  */
+/* Fills CHANGE from BODY.  Its strings point into BODY and to VALUE, which the
+   caller frees.  Returns an error message, or NULL on success.  */
 static const char *
 read_change (json_t *body, struct confedit_request *change, char **value)
 {
@@ -224,8 +232,8 @@
       != 0)
     return "the body is an object of action, team, path, value, index, "
            "change_id and dry_run";
-  change->expects = index >= 0;
-  change->expect_index = change->expects ? (uint64_t)index : 0;
+  change->checks_index = index >= 0;
+  change->expect_index = change->checks_index ? (uint64_t)index : 0;
   change->dry_run = dry_run != 0;
   if (strcmp (action, "delete") == 0)
     {
@@ -273,7 +281,7 @@
     {
       change.who = basic.name;
       change.secret = basic.secret;
-      confedit_submit (config->confedit, &change, on_changed, pending);
+      confedit_submit (config->confedit, &change, on_change_done, pending);
     }
   http_basic_clear (&basic);
   free (value);
--- a/src/cli/http_config.h
+++ b/src/cli/http_config.h
@@ -1,6 +1,7 @@
-/* http_config - the operators' configuration over HTTP; see docs/API.md.
+/* http_config - HTTP API to read and change the configuration; see
+   docs/API.md.
 
-   Serves /v1/config, /v1/config/history and /v1/config/change of the
+   Serves /v1/config, /v1/config/history and /v1/config/change on the
    operators' listener.  */
 
 #ifndef SAVORYWAY_CLI_HTTP_CONFIG_H
@@ -14,8 +15,8 @@
 struct http_config *http_config_new (struct http_server *server,
                                      struct confedit *confedit);
 
-/* Requests not answered yet are dropped.  Called after the modules behind
-   it are freed.  */
+/* Drops the pending requests.  Must be called after confedit is freed, which
+   may call back until then.  */
 void http_config_free (struct http_config *config);
 
 #endif
--- a/src/cli/http_failover.c
+++ b/src/cli/http_failover.c
@@ -7,20 +7,20 @@
 
 #include "kernel/mem.h"
 
-/* An order that is being carried out.  */
-struct order
+/* A request that waits for the result of failover.  */
+struct pending
 {
   struct http_failover *http;
   struct evhttp_request *request;
-  struct order *prev;
-  struct order *next;
+  struct pending *prev;
+  struct pending *next;
 };
 
 struct http_failover
 {
   struct http_server *server;
   struct failover *failover;
-  struct order *orders;
+  struct pending *requests;
 };
 
 static void
@@ -43,13 +43,13 @@
 }
 
 static void
-order_done (void *arg, bool ok, const char *message)
+on_done (void *arg, bool ok, const char *message)
 {
-  struct order *order = arg;
-  struct http_failover *http = order->http;
-  struct evhttp_request *request = order->request;
-  DL_DELETE (http->orders, order);
-  free (order);
+  struct pending *pending = arg;
+  struct http_failover *http = pending->http;
+  struct evhttp_request *request = pending->request;
+  DL_DELETE (http->requests, pending);
+  free (pending);
   if (ok)
     http_server_reply_json (http->server, request, 200,
                             json_pack ("{s:b}", "done", 1));
@@ -57,21 +57,21 @@
     reply_error (http, request, 409, message);
 }
 
-static struct order *
-order_new (struct http_failover *http, struct evhttp_request *request)
+static struct pending *
+pending_new (struct http_failover *http, struct evhttp_request *request)
 {
-  struct order *order = mem_zalloc (sizeof *order);
-  order->http = http;
-  order->request = request;
-  DL_APPEND (http->orders, order);
-  return order;
+  struct pending *pending = mem_zalloc (sizeof *pending);
+  pending->http = http;
+  pending->request = request;
+  DL_APPEND (http->requests, pending);
+  return pending;
 }
 
-/* Returns the body of a POST with its member "database", or NULL after an
-   answer.  */
+/* Returns the JSON body of a POST and sets DATABASE to its member "database".
+   Returns NULL after an error reply.  */
 static json_t *
-read_order (struct http_failover *http, struct evhttp_request *request,
-            const char **database)
+read_body (struct http_failover *http, struct evhttp_request *request,
+           const char **database)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   size_t length = evbuffer_get_length (input);
@@ -92,11 +92,11 @@
 }
 
 static void
-post_order (struct evhttp_request *request, void *arg)
+post_switch_over (struct evhttp_request *request, void *arg)
 {
   struct http_failover *http = arg;
   const char *database;
-  json_t *body = read_order (http, request, &database);
+  json_t *body = read_body (http, request, &database);
   if (body == NULL)
     return;
   json_t *target = json_object_get (body, "target");
@@ -104,7 +104,7 @@
     reply_error (http, request, 400, "target must be a string");
   else
     failover_switch_over (http->failover, database, json_string_value (target),
-                          order_done, order_new (http, request));
+                          on_done, pending_new (http, request));
   json_decref (body);
 }
 
@@ -113,15 +113,15 @@
 {
   struct http_failover *http = arg;
   const char *database;
-  json_t *body = read_order (http, request, &database);
+  json_t *body = read_body (http, request, &database);
   if (body == NULL)
     return;
   json_t *hold = json_object_get (body, "hold");
   if (!json_is_boolean (hold))
     reply_error (http, request, 400, "hold must be true or false");
   else
-    failover_set_hold (http->failover, database, json_is_true (hold),
-                       order_done, order_new (http, request));
+    failover_set_hold (http->failover, database, json_is_true (hold), on_done,
+                       pending_new (http, request));
   json_decref (body);
 }
 
@@ -133,7 +133,7 @@
   http->server = server;
   http->failover = failover;
   evhttp_set_cb (evhttp, "/v1/failover", get_status, http);
-  evhttp_set_cb (evhttp, "/v1/failover/order", post_order, http);
+  evhttp_set_cb (evhttp, "/v1/failover/order", post_switch_over, http);
   evhttp_set_cb (evhttp, "/v1/failover/hold", post_hold, http);
   return http;
 }
@@ -141,13 +141,13 @@
 void
 http_failover_free (struct http_failover *http)
 {
-  struct order *order, *next;
+  struct pending *pending, *next;
   if (http == NULL)
     return;
-  DL_FOREACH_SAFE (http->orders, order, next)
+  DL_FOREACH_SAFE (http->requests, pending, next)
   {
-    DL_DELETE (http->orders, order);
-    free (order);
+    DL_DELETE (http->requests, pending);
+    free (pending);
   }
   free (http);
 }
--- a/src/cli/http_ops.c
+++ b/src/cli/http_ops.c
@@ -15,13 +15,13 @@
 #define JSON_TYPE "application/json"
 #define METRICS_TYPE "text/plain; version=0.0.4"
 
-struct census;
+struct revision_query;
 
 struct http_ops
 {
   struct http_ops_options options;
   clk_ms started_ms;
-  struct census *censuses;
+  struct revision_query *revision_queries;
 };
 
 static void
@@ -73,34 +73,36 @@
   http_server_reply_json (options->server, request, 200, status);
 }
 
-/* A count of revisions over the hosts that is under way.  */
-struct census
+/* A request for /v1/revisions that waits for the hosts' revisions.  */
+struct revision_query
 {
   struct http_ops *ops;
   struct evhttp_request *request;
-  struct census *prev;
-  struct census *next;
+  struct revision_query *prev;
+  struct revision_query *next;
 };
 
 static void
-census_done (void *arg, const struct sync_revision_hosts *shares, size_t count)
-{
-  struct census *census = arg;
-  struct http_ops *ops = census->ops;
-  DL_DELETE (ops->censuses, census);
-  http_server_reply_json (ops->options.server, census->request, 200,
-                          ops_report_shares (shares, count));
-  free (census);
+on_revisions (void *arg, const struct sync_revision_hosts *revisions,
+              size_t count)
+{
+  struct revision_query *revision_query = arg;
+  struct http_ops *ops = revision_query->ops;
+  DL_DELETE (ops->revision_queries, revision_query);
+  http_server_reply_json (ops->options.server, revision_query->request, 200,
+                          ops_report_revisions (revisions, count));
+  free (revision_query);
 }
 
 static void
 get_revisions (struct http_ops *ops, struct evhttp_request *request)
 {
-  struct census *census = mem_zalloc (sizeof *census);
-  census->ops = ops;
-  census->request = request;
-  DL_APPEND (ops->censuses, census);
-  sync_count_revisions (node_sync (ops->options.node), census_done, census);
+  struct revision_query *revision_query = mem_zalloc (sizeof *revision_query);
+  revision_query->ops = ops;
+  revision_query->request = request;
+  DL_APPEND (ops->revision_queries, revision_query);
+  sync_count_revisions (node_sync (ops->options.node), on_revisions,
+                        revision_query);
 }
 
 static void
@@ -145,7 +147,7 @@
                           json_pack ("{s:b}", "draining", 1));
 }
 
-/* Returns the priority named by the body {"level": NAME}, or -1.  */
+/* Returns the syslog priority that the body {"level": NAME} names, or -1.  */
 static int
 read_level (struct evhttp_request *request)
 {
@@ -221,9 +223,12 @@
 void
 http_ops_free (struct http_ops *ops)
 {
-  struct census *census, *next;
+  struct revision_query *revision_query, *next;
   if (ops == NULL)
     return;
-  DL_FOREACH_SAFE (ops->censuses, census, next) { free (census); }
+  DL_FOREACH_SAFE (ops->revision_queries, revision_query, next)
+  {
+    free (revision_query);
+  }
   free (ops);
 }
--- a/src/cli/http_proxy.h
+++ b/src/cli/http_proxy.h
@@ -1,6 +1,8 @@
-/* http_proxy - operators' reports of a host on the users' platform:
-   /metrics, /v1/status, /v1/topology, /v1/explain?database=NAME.  All only
-   read.  */
+/* http_proxy - read-only HTTP API for operators of a host on the users'
+   platform.
+
+   Serves /metrics, /v1/status, /v1/topology and
+   /v1/explain?database=NAME.  */
 
 #ifndef SAVORYWAY_CLI_HTTP_PROXY_H
 #define SAVORYWAY_CLI_HTTP_PROXY_H
@@ -12,12 +14,12 @@
 
 struct http_proxy_options
 {
-  struct http_server *server;
+  struct http_server *server; /* listener whose requests are handled */
   struct kernel *kernel;
   const char *host;
   const char *domain;
-  /* Sets what the process alone knows: sessions, and whether it is ready or
-     leaving.  */
+  /* Sets the state that only the process has: the number of callers' sessions,
+     whether the host is ready, and whether it is shutting down.  */
   void (*state) (void *arg, size_t *sessions, bool *ready, bool *leaving);
   void *arg;
 };
--- a/src/cli/http_server.c
+++ b/src/cli/http_server.c
@@ -11,20 +11,26 @@
 #include "kernel/mem.h"
 #include "port/address.h"
 
-#define LISTEN_BACKLOG 4096
+#define LISTEN_BACKLOG 4096 /* connections */
+
+/* Checks for slow clients per send_ms, which bounds how late they are
+   noticed.  */
 #define SWEEPS_PER_LIMIT 16
+
+/* Pause after accept has failed.  */
 #define ACCEPT_PAUSE_US 100000
-#define BYTES_LIMIT_DEFAULT (64UL * 1024 * 1024)
 
-/* An answer that is being sent.  */
-struct sending
+#define DEFAULT_UNSENT_LIMIT_BYTES (64UL * 1024 * 1024)
+
+/* A response that is being sent.  */
+struct response
 {
   struct http_server *server;
   struct evhttp_connection *connection;
   size_t bytes;
   clk_ms since_ms;
-  struct sending *prev;
-  struct sending *next;
+  struct response *prev;
+  struct response *next;
 };
 
 struct http_server
@@ -33,76 +39,76 @@
   struct event_base *base;
   struct evhttp *http;
   struct evhttp_bound_socket *bound;
-  struct event *sweep;
-  struct event *accept_again;
-  struct sending *sendings; /* oldest first */
-  size_t sending_count;
+  struct event *sweep_timer;
+  struct event *resume_timer; /* of accepting connections */
+  struct response *responses; /* oldest first */
+  size_t response_count;
   size_t unsent_bytes;
   uint16_t port;
-  bool close_kept;
+  bool keep_alive_disabled;
 };
 
 static void
-sending_free (struct sending *sending)
+response_free (struct response *response)
 {
-  struct http_server *server = sending->server;
-  DL_DELETE (server->sendings, sending);
-  server->sending_count--;
-  server->unsent_bytes -= sending->bytes;
-  free (sending);
+  struct http_server *server = response->server;
+  DL_DELETE (server->responses, response);
+  server->response_count--;
+  server->unsent_bytes -= response->bytes;
+  free (response);
 }
 
 static void
-sent (struct evhttp_request *request, void *arg)
+on_sent (struct evhttp_request *request, void *arg)
 {
-  struct sending *sending = arg;
+  struct response *response = arg;
   (void)request;
-  evhttp_connection_set_closecb (sending->connection, NULL, NULL);
-  sending_free (sending);
+  evhttp_connection_set_closecb (response->connection, NULL, NULL);
+  response_free (response);
 }
 
 static void
-closed (struct evhttp_connection *connection, void *arg)
+on_closed (struct evhttp_connection *connection, void *arg)
 {
   (void)connection;
-  sending_free (arg);
+  response_free (arg);
 }
 
-/* Closes connections whose clients take their answer too slowly.  */
+/* Closes the connections whose response was not sent within send_ms.  */
 static void
-sweep (evutil_socket_t fd, short what, void *arg)
+close_slow_clients (evutil_socket_t fd, short what, void *arg)
 {
   struct http_server *server = arg;
-  struct sending *sending, *next;
+  struct response *response, *next;
   clk_ms now_ms = clk_now (server->options.clk);
   (void)fd;
   (void)what;
-  DL_FOREACH_SAFE (server->sendings, sending, next)
+  DL_FOREACH_SAFE (server->responses, response, next)
   {
-    if (now_ms - sending->since_ms < server->options.send_ms)
+    if (now_ms - response->since_ms < server->options.send_ms)
       break;
-    evhttp_connection_free (sending->connection);
+    evhttp_connection_free (response->connection);
   }
 }
 
 static void
-watch_sending (struct http_server *server, struct evhttp_request *request,
-               size_t bytes)
+track_response (struct http_server *server, struct evhttp_request *request,
+                size_t bytes)
 {
   struct evhttp_connection *connection
       = evhttp_request_get_connection (request);
   if (connection == NULL)
     return;
-  struct sending *sending = mem_zalloc (sizeof *sending);
-  sending->server = server;
-  sending->connection = connection;
-  sending->bytes = bytes;
-  sending->since_ms = clk_now (server->options.clk);
-  DL_APPEND (server->sendings, sending);
-  server->sending_count++;
+  struct response *response = mem_zalloc (sizeof *response);
+  response->server = server;
+  response->connection = connection;
+  response->bytes = bytes;
+  response->since_ms = clk_now (server->options.clk);
+  DL_APPEND (server->responses, response);
+  server->response_count++;
   server->unsent_bytes += bytes;
-  evhttp_connection_set_closecb (connection, closed, sending);
-  evhttp_request_set_on_complete_cb (request, sent, sending);
+  evhttp_connection_set_closecb (connection, on_closed, response);
+  evhttp_request_set_on_complete_cb (request, on_sent, response);
 }
 
 static void
@@ -121,10 +127,10 @@
   struct evbuffer *output = evhttp_request_get_output_buffer (request);
   size_t length = strlen (text);
   evhttp_add_header (headers, "Content-Type", type);
-  if (server->close_kept)
+  if (server->keep_alive_disabled)
     evhttp_add_header (headers, "Connection", "close");
   evbuffer_add_reference (output, text, length, free_text, text);
-  watch_sending (server, request, length);
+  track_response (server, request, length);
   evhttp_send_reply (request, status, NULL, NULL);
 }
 
@@ -140,18 +146,19 @@
   http_server_reply (server, request, status, "application/json", text);
 }
 
-/* Pauses when accept fails, as it does while descriptors are short.  */
+/* Pauses accepting: accept fails repeatedly while the process is out of file
+   descriptors.  */
 static void
-accept_failed (struct evconnlistener *listener, void *arg)
+on_accept_error (struct evconnlistener *listener, void *arg)
 {
   struct http_server *server = arg;
   struct timeval pause = { .tv_usec = ACCEPT_PAUSE_US };
   evconnlistener_disable (listener);
-  evtimer_add (server->accept_again, &pause);
+  evtimer_add (server->resume_timer, &pause);
 }
 
 static void
-accept_again (evutil_socket_t fd, short what, void *arg)
+resume_accept (evutil_socket_t fd, short what, void *arg)
 {
   struct http_server *server = arg;
   (void)fd;
@@ -179,7 +186,7 @@
       evconnlistener_free (listener);
       return false;
     }
-  evconnlistener_set_error_cb (listener, accept_failed);
+  evconnlistener_set_error_cb (listener, on_accept_error);
   server->port = address_bound_port (evconnlistener_get_fd (listener));
   return true;
 }
@@ -196,17 +203,18 @@
                           .tv_usec = options->idle_ms % 1000 * 1000 };
   server->options = *options;
   if (server->options.unsent_limit_bytes == 0)
-    server->options.unsent_limit_bytes = BYTES_LIMIT_DEFAULT;
+    server->options.unsent_limit_bytes = DEFAULT_UNSENT_LIMIT_BYTES;
   server->base = base;
   server->http = evhttp_new (base);
-  server->sweep = event_new (base, -1, EV_PERSIST, sweep, server);
-  server->accept_again = evtimer_new (base, accept_again, server);
+  server->sweep_timer
+      = event_new (base, -1, EV_PERSIST, close_slow_clients, server);
+  server->resume_timer = evtimer_new (base, resume_accept, server);
   evhttp_set_timeout_tv (server->http, &idle);
   evhttp_set_max_body_size (server->http,
                             (ev_ssize_t)options->body_limit_bytes);
   evhttp_set_max_headers_size (server->http,
                                (ev_ssize_t)options->header_limit_bytes);
-  event_add (server->sweep, &interval);
+  event_add (server->sweep_timer, &interval);
   if (server_listen (server))
     return server;
   int error = errno;
@@ -221,8 +229,8 @@
   if (server == NULL)
     return;
   evhttp_free (server->http);
-  event_free (server->sweep);
-  event_free (server->accept_again);
+  event_free (server->sweep_timer);
+  event_free (server->resume_timer);
   free (server);
 }
 
@@ -239,9 +247,9 @@
 }
 
 void
-http_server_close_kept (struct http_server *server)
+http_server_disable_keep_alive (struct http_server *server)
 {
-  server->close_kept = true;
+  server->keep_alive_disabled = true;
 }
 
 bool
@@ -253,5 +261,5 @@
 size_t
 http_server_unsent (const struct http_server *server)
 {
-  return server->sending_count;
+  return server->response_count;
 }
--- a/src/cli/http_server.h
+++ b/src/cli/http_server.h
@@ -1,8 +1,9 @@
-/* http_server - a listener for HTTP requests, with limits.
+/* http_server - an HTTP listener with limits on memory and time.
 
-   Answers that a client does not take in time close its connection, so that
-   slow clients hold no memory for longer.  While too many bytes wait to be
-   taken, http_server_full is true.  */
+   A client that does not read its response within a time limit is
+   disconnected, so that slow clients do not pin memory.  While the total of
+   unsent bytes is above a limit, http_server_full returns true and the user of
+   the server is to reject requests.  */
 
 #ifndef SAVORYWAY_CLI_HTTP_SERVER_H
 #define SAVORYWAY_CLI_HTTP_SERVER_H
@@ -20,41 +21,45 @@
 struct http_server_options
 {
   const char *address; /* IP number */
-  uint16_t port;       /* 0: any free one */
+  uint16_t port;       /* 0: chosen by the system */
   size_t body_limit_bytes;
   size_t header_limit_bytes;
-  size_t unsent_limit_bytes; /* see http_server_full */
-  clk_ms idle_ms;            /* closes a connection without traffic */
-  clk_ms send_ms;            /* longest time to take an answer */
+  size_t unsent_limit_bytes; /* see http_server_full; 0: 64 MiB */
+  clk_ms idle_ms;            /* closes connections idle for this long */
+  clk_ms send_ms;            /* timeout for sending a response */
   struct clk *clk;
 };
 
-/* Returns a server that listens, or NULL with errno set.  */
+/* Returns a listening server, or NULL with errno set.  */
 struct http_server *
 http_server_new (struct event_base *base,
                  const struct http_server_options *options);
 
-/* Closes all connections; requests not answered yet are dropped.  */
+/* Closes all connections and drops the pending requests.  */
 void http_server_free (struct http_server *server);
 
+/* Returns the evhttp, on which handlers are registered.  */
 struct evhttp *http_server_evhttp (struct http_server *server);
+
+/* Returns the bound port.  */
 uint16_t http_server_port (const struct http_server *server);
 
-/* From now on each answer closes its connection.  */
-void http_server_close_kept (struct http_server *server);
+/* Makes each later response close its connection.  */
+void http_server_disable_keep_alive (struct http_server *server);
 
-/* Whether too many bytes wait to be taken by clients.  */
+/* Returns whether the unsent bytes exceed the limit.  */
 bool http_server_full (const struct http_server *server);
 
-/* Answers of the server that are not sent whole.  */
+/* Returns the number of responses that are not completely sent.  */
 size_t http_server_unsent (const struct http_server *server);
 
-/* Answers REQUEST with TEXT of TYPE, which is freed with free.  */
+/* Replies to REQUEST with TEXT of content type TYPE.  Takes ownership of TEXT,
+   which must come from malloc.  */
 void http_server_reply (struct http_server *server,
                         struct evhttp_request *request, int status,
                         const char *type, char *text);
 
-/* Answers REQUEST with VALUE, whose reference is taken.  */
+/* Replies to REQUEST with VALUE as JSON.  Steals the reference to VALUE.  */
 void http_server_reply_json (struct http_server *server,
                              struct evhttp_request *request, int status,
                              json_t *value);
--- a/src/cli/log_out.c
+++ b/src/cli/log_out.c
@@ -12,8 +12,8 @@
 struct log_out
 {
   struct clk *clk;
-  size_t used;
-  uint64_t dropped;
+  size_t used;      /* bytes */
+  uint64_t dropped; /* lines since the last one that fitted */
   char buffer[LOG_OUT_BYTES];
 };
 
@@ -41,11 +41,13 @@
 log_out_line (void *arg, int priority, const char *line)
 {
   struct log_out *out = arg;
-  size_t room = sizeof out->buffer - out->used;
-  int length = snprintf (out->buffer + out->used, room, "<%d>ms=%lld %s%s",
-                         priority, (long long)clk_now (out->clk), line,
-                         out->dropped > 0 ? " lines_dropped=" : "");
-  if (length < 0 || (size_t)length + 24 >= room)
+  size_t available = sizeof out->buffer - out->used;
+  int length
+      = snprintf (out->buffer + out->used, available, "<%d>ms=%lld %s%s",
+                  priority, (long long)clk_now (out->clk), line,
+                  out->dropped > 0 ? " lines_dropped=" : "");
+  /* 24 bytes hold the number of dropped lines and the line feed.  */
+  if (length < 0 || (size_t)length + 24 >= available)
     {
       out->dropped++;
       return;
@@ -65,7 +67,7 @@
     return;
   ssize_t written = write (STDOUT_FILENO, out->buffer, out->used);
   if (written <= 0)
-    return; /* tried again at the next turn */
+    return; /* retried by the next flush */
   out->used -= (size_t)written;
   memmove (out->buffer, out->buffer + written, out->used);
 }
--- a/src/cli/log_out.h
+++ b/src/cli/log_out.h
@@ -1,25 +1,29 @@
-/* log_out - log lines to standard output, never blocking.
+/* log_out - writes log lines to standard output without blocking.
 
-   Lines gather in a bounded buffer that is written once a turn of the loop.
-   While the reader takes nothing, further lines are dropped and counted.  */
+   Lines are buffered and written once per iteration of the event loop.  While
+   the reader of the pipe does not keep up and the buffer is full, further
+   lines are dropped; the next line that fits reports their number.  */
 
 #ifndef SAVORYWAY_CLI_LOG_OUT_H
 #define SAVORYWAY_CLI_LOG_OUT_H
 
 #include "kernel/clock.h"
 
+/* Size of the buffer.  */
 #define LOG_OUT_BYTES ((size_t)64 * 1024)
 
 struct log_out;
 
-/* Lines are stamped with CLK.  */
+/* Makes standard output non-blocking.  CLK provides the timestamps.  */
 struct log_out *log_out_new (struct clk *clk);
+
+/* Flushes and frees OUT.  */
 void log_out_free (struct log_out *out);
 
-/* A log_sink; ARG is a struct log_out.  */
+/* Buffers LINE.  A log_sink; ARG is a struct log_out.  */
 void log_out_line (void *arg, int priority, const char *line);
 
-/* Writes what has gathered, as far as the reader takes it.  */
+/* Writes as much of the buffer as possible without blocking.  */
 void log_out_flush (struct log_out *out);
 
 #endif
--- a/src/cli/ops_report.c
+++ b/src/cli/ops_report.c
@@ -6,6 +6,7 @@
 
 #include "kernel/mem.h"
 
+/* Gateways of an instance: the active one and its standby.  */
 #define GATEWAYS 2
 
 static json_t *
@@ -120,14 +121,15 @@
 }
 
 json_t *
-ops_report_shares (const struct sync_revision_hosts *shares, size_t count)
+ops_report_revisions (const struct sync_revision_hosts *revisions,
+                      size_t count)
 {
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
-    json_array_append_new (list,
-                           json_pack ("{s:I, s:I}", "revision",
-                                      (json_int_t)shares[i].revision, "hosts",
-                                      (json_int_t)shares[i].hosts));
+    json_array_append_new (list, json_pack ("{s:I, s:I}", "revision",
+                                            (json_int_t)revisions[i].revision,
+                                            "hosts",
+                                            (json_int_t)revisions[i].hosts));
   return json_pack ("{s:o}", "shares", list);
 }
 
--- a/src/cli/ops_report.h
+++ b/src/cli/ops_report.h
@@ -1,4 +1,4 @@
-/* ops_report - the state of a host as JSON, for operators.  */
+/* ops_report - formats the state of a host as JSON for operators.  */
 
 #ifndef SAVORYWAY_CLI_OPS_REPORT_H
 #define SAVORYWAY_CLI_OPS_REPORT_H
@@ -8,18 +8,21 @@
 #include "core/node.h"
 #include "core/sync.h"
 
-/* Returns hosts, and per database the term record and for each instance the
-   hosts that are its gateways, active one first.  */
+/* Returns the hosts and the databases.  A database has its term record and its
+   instances, each with the hosts that are its gateways, the active one
+   first.  */
 json_t *ops_report_topology (struct node *node);
 
-/* Adds counts of what this host knows to STATUS.  */
+/* Adds to STATUS the numbers of services, databases, hosts and requests in
+   flight, and the state of the synchronisation.  */
 void ops_report_counts (struct node *node, json_t *status);
 
-/* Returns how many hosts have which revision of the configuration.  */
-json_t *ops_report_shares (const struct sync_revision_hosts *shares,
-                           size_t count);
+/* Returns the number of hosts by configuration revision; REVISIONS has COUNT
+   elements.  */
+json_t *ops_report_revisions (const struct sync_revision_hosts *revisions,
+                              size_t count);
 
-/* Resident memory of the process in bytes; 0 if not known.  */
+/* Returns the resident memory of the process in bytes; 0 if unknown.  */
 int64_t ops_report_resident_bytes (void);
 
 #endif
--- a/src/cli/proxy_report.c
+++ b/src/cli/proxy_report.c
@@ -10,6 +10,7 @@
 #include "proxy/placement.h"
 #include "proxy/roster.h"
 
+/* Returns the time since SINCE_MS in ms; null if that never happened.  */
 static json_t *
 age_or_null (struct kernel *kernel, clk_ms since_ms)
 {
@@ -33,8 +34,8 @@
   uint64_t token = 0;
   size_t others;
   hosts_list (hosts, &others);
-  bool holds = roster_holds_duty (roster, &token);
-  json_t *known
+  bool has_duty = roster_holds_duty (roster, &token);
+  json_t *report
       = json_pack ("{s:I, s:I, s:I, s:I, s:I, s:b, s:b, s:b, s:I}",
                    "config_version", (json_int_t)config->version, "databases",
                    (json_int_t)config->route_count, "groups",
@@ -43,8 +44,8 @@
                    (json_int_t)forwarded_sessions_count (forwarded_sessions),
                    "store_reached", (int)mirror_store_reachable (mirror),
                    "cut_off", (int)groups_cut_off (groups), "holds_duty",
-                   (int)holds, "token", (json_int_t)token);
-  json_object_update_new (status, known);
+                   (int)has_duty, "token", (json_int_t)token);
+  json_object_update_new (status, report);
 }
 
 static json_t *
@@ -70,7 +71,7 @@
   return list;
 }
 
-/* What the report of a group is made of.  */
+/* Argument of add_group.  */
 struct group_report
 {
   struct kernel *kernel;
@@ -147,29 +148,29 @@
 }
 
 static json_t *
-report_choices (const struct group *group, struct position floor)
+report_candidates (const struct group *group, struct position min_position)
 {
-  struct read_candidate choices[GROUP_INSTANCES];
-  size_t count = group_read_candidates (group, floor, choices);
+  struct read_candidate candidates[GROUP_INSTANCES];
+  size_t count = group_read_candidates (group, min_position, candidates);
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
     json_array_append_new (
         list, json_pack ("{s:s, s:f, s:s}", "instance",
-                         backend_entry (choices[i].backend)->id, "cost_ms",
-                         choices[i].cost_ms, "state",
-                         choices[i].why_not != NULL ? choices[i].why_not
-                                                    : "usable"));
+                         backend_entry (candidates[i].backend)->id, "cost_ms",
+                         candidates[i].cost_ms, "state",
+                         candidates[i].why_not != NULL ? candidates[i].why_not
+                                                       : "usable"));
   return list;
 }
 
-/* What decides where a read runs.  */
+/* Adds to ANSWER how the instance of a read is selected.  */
 static void
 explain_read (json_t *answer, struct kernel *kernel, const struct route *route,
               const struct group *group)
 {
-  struct position floor;
+  struct position min_position;
   clk_ms not_before_ms = kernel_now (kernel) - route->max_staleness_ms;
-  if (!samples_floor (group_samples (group), not_before_ms, &floor))
+  if (!samples_floor (group_samples (group), not_before_ms, &min_position))
     {
       json_object_set_new (answer, "why",
                            json_string ("no recent position: the primary is "
@@ -181,12 +182,13 @@
                                     "at this position or later"));
   json_object_set_new (answer, "position",
                        json_sprintf ("%llu.%llu",
-                                     (unsigned long long)floor.term,
-                                     (unsigned long long)floor.lsn));
-  json_object_set_new (answer, "choices", report_choices (group, floor));
+                                     (unsigned long long)min_position.term,
+                                     (unsigned long long)min_position.lsn));
+  json_object_set_new (answer, "choices",
+                       report_candidates (group, min_position));
 }
 
-/* Where a statement of ROUTE runs, and why.  */
+/* Adds to ANSWER where a statement of ROUTE runs, and why.  */
 static void
 explain_route (json_t *answer, struct kernel *kernel,
                const struct route *route)
--- a/src/cli/proxy_report.h
+++ b/src/cli/proxy_report.h
@@ -1,5 +1,5 @@
-/* proxy_report - the state of a host on the users' platform as JSON, for
-   operators.  */
+/* proxy_report - formats the state of a host on the users' platform as JSON
+   for operators.  */
 
 #ifndef SAVORYWAY_CLI_PROXY_REPORT_H
 #define SAVORYWAY_CLI_PROXY_REPORT_H
@@ -8,16 +8,17 @@
 
 #include "kernel/kernel.h"
 
-/* Adds to STATUS what the modules of KERNEL know: configuration, hosts, the
-   duty, the store, forwarded statements.  */
+/* Adds to STATUS the state of the modules of KERNEL: configuration version,
+   numbers of databases, groups, hosts and forwarded sessions, reachability of
+   the store, and the promotion duty with its fencing token.  */
 void proxy_report_status (struct kernel *kernel, json_t *status);
 
-/* Returns the hosts, and per replica group its primary and instances, with
-   the hosts that have connections to it.  */
+/* Returns the hosts and the replica groups.  A group has its primary and its
+   instances, each with the hosts that are its gateways.  */
 json_t *proxy_report_topology (struct kernel *kernel);
 
-/* Returns how a statement for DATABASE would be routed now, with the reason;
-   NULL if there is no such database.  */
+/* Returns how a statement for DATABASE would be routed now, with the reason.
+   Returns NULL if there is no such database.  */
 json_t *proxy_report_explain (struct kernel *kernel, const char *database);
 
 #endif
--- a/src/cli/run.c
+++ b/src/cli/run.c
@@ -22,12 +22,13 @@
 #include "port/pg.h"
 #include "port/rpc_port.h"
 
-/* Operators' requests and answers are small but for configurations.  */
+/* Limits of the operators' listener.  Only configurations have large
+   bodies.  */
 #define OPERATOR_BODY_LIMIT_BYTES (4UL * 1024 * 1024)
 #define OPERATOR_HEADER_LIMIT_BYTES 16384
 #define OPERATOR_IDLE_MS 60000
 
-/* Longest time in which a client may take an answer.  */
+/* Timeout for sending a response to a client.  */
 #define SEND_LIMIT_MS 60000
 
 struct run
@@ -38,8 +39,8 @@
   struct log *log;
   uint64_t incarnation;
   struct event_base *base;
-  struct event *timer; /* the kernel's next due time */
-  struct event *drain_limit;
+  struct event *timer;       /* wakes the loop at the kernel's next due time */
+  struct event *drain_limit; /* ends the graceful shutdown */
   struct event *signals[2];
   struct db_port *db;
   struct peer_port *peer;
@@ -89,7 +90,7 @@
              LOG_U ("in_flight", entry_in_flight (node_entry (run->node))),
              LOG_I ("limit_ms", run->settings->drain_limit_ms));
   node_drain (run->node);
-  http_server_close_kept (run->caller_server);
+  http_server_disable_keep_alive (run->caller_server);
   evtimer_add (run->drain_limit, &limit);
 }
 
@@ -105,7 +106,8 @@
     start_drain (run);
 }
 
-/* Whether nothing of a caller is left to do.  */
+/* Returns whether the graceful shutdown is complete: no request is in flight
+   and all responses are sent.  */
 static bool
 is_drained (const struct run *run)
 {
@@ -116,7 +118,7 @@
 }
 
 static void
-loop (struct run *run)
+run_loop (struct run *run)
 {
   struct kernel *kernel = node_kernel (run->node);
   while (!run->ended)
@@ -162,7 +164,8 @@
              LOG_I ("port", port), LOG_S ("error", strerror (errno)));
 }
 
-/* Opens all listeners, and reports each that can't be opened.  */
+/* Opens all listeners.  Logs each that can't be opened, not only the
+   first.  */
 static bool
 open_listeners (struct run *run)
 {
@@ -277,7 +280,7 @@
                  http_server_port (run->operator_server));
 }
 
-/* Frees in an order in which nothing reports to what is gone.  */
+/* Frees each object before those that it calls back into.  */
 static void
 close_all (struct run *run)
 {
@@ -325,7 +328,7 @@
   open_node (&run);
   open_interfaces (&run);
   node_start (run.node);
-  loop (&run);
+  run_loop (&run);
   log_event (run.log, LOG_NOTICE, "ended", LOG_I ("status", run.status));
 out:
   close_all (&run);
--- a/src/cli/run.h
+++ b/src/cli/run.h
@@ -5,8 +5,9 @@
 
 #include "cli/settings.h"
 
-/* Runs a host until it is told to end.  SIGTERM and SIGINT start a graceful
-   shutdown; a second one ends at once.  Returns an exit status.  */
+/* Runs a host until it is shut down.  SIGTERM, SIGINT or an operator's drain
+   request starts a graceful shutdown; a signal during that ends the process
+   immediately.  Returns an exit status.  */
 int run_host (const struct settings *settings);
 
 #endif
--- a/src/cli/settings.c
+++ b/src/cli/settings.c
@@ -13,6 +13,7 @@
 
 #include "kernel/mem.h"
 
+/* Buffer size for a token of up to 256 characters, its line feed and NUL.  */
 #define TOKEN_FILE_BYTES 258
 #define KEY_DIGITS 64
 
@@ -20,13 +21,13 @@
 
 #define SEED_LIMIT 64UL
 
-/* One setting being read: its text and where that came from.  */
-struct reading
+/* The text of a setting to be parsed, and where it came from.  */
+struct setting_input
 {
   struct settings *settings;
   const struct setting *setting;
   const char *text;
-  const char *place;
+  const char *origin; /* flag, variable or "default" */
   struct findings *findings;
 };
 
@@ -40,9 +41,9 @@
 }
 
 static void *
-field_of (const struct reading *reading)
+field_of (const struct setting_input *input)
 {
-  return (char *)reading->settings + reading->setting->offset;
+  return (char *)input->settings + input->setting->offset;
 }
 
 static bool
@@ -90,82 +91,82 @@
 }
 
 static void
-read_endpoint (const struct reading *reading)
+read_endpoint (const struct setting_input *input)
 {
   struct endpoint endpoint;
-  if (endpoint_parse (&endpoint, reading->text)
-      && endpoint.port >= reading->setting->min)
-    *(char **)field_of (reading) = mem_strdup (reading->text);
+  if (endpoint_parse (&endpoint, input->text)
+      && endpoint.port >= input->setting->min)
+    *(char **)field_of (input) = mem_strdup (input->text);
   else
-    findings_add (reading->findings, reading->place,
+    findings_add (input->findings, input->origin,
                   "\"%s\" is not ADDRESS:PORT with an IP number and a port "
                   "that can be used",
-                  reading->text);
+                  input->text);
 }
 
 static void
-read_text (const struct reading *reading)
+read_text (const struct setting_input *input)
 {
-  char **field = field_of (reading);
-  const char *text = reading->text;
-  if (reading->setting->type == SETTING_NAME && !is_name (text, strlen (text)))
-    findings_add (reading->findings, reading->place,
+  char **field = field_of (input);
+  const char *text = input->text;
+  if (input->setting->type == SETTING_NAME && !is_name (text, strlen (text)))
+    findings_add (input->findings, input->origin,
                   "\"%s\" is not a name of up to %d letters, digits, '.', '_' "
                   "and '-'",
                   text, NAME_BYTES - 1);
-  else if (reading->setting->type == SETTING_ADDRESS && !is_address (text))
-    findings_add (reading->findings, reading->place,
-                  "\"%s\" is not an IP number", text);
-  else if (reading->setting->type == SETTING_HASH
+  else if (input->setting->type == SETTING_ADDRESS && !is_address (text))
+    findings_add (input->findings, input->origin, "\"%s\" is not an IP number",
+                  text);
+  else if (input->setting->type == SETTING_HASH
            && !view_secret_hash_valid (text))
-    findings_add (reading->findings, reading->place,
+    findings_add (input->findings, input->origin,
                   "is not a hash as `savoryway hash' prints it");
   else
     *field = mem_strdup (text);
 }
 
 static void
-read_number (const struct reading *reading)
+read_number (const struct setting_input *input)
 {
-  const struct setting *setting = reading->setting;
+  const struct setting *setting = input->setting;
   int64_t value;
-  if (!parse_number (reading->text, &value))
-    findings_add (reading->findings, reading->place,
-                  "\"%s\" is not a whole number", reading->text);
+  if (!parse_number (input->text, &value))
+    findings_add (input->findings, input->origin,
+                  "\"%s\" is not a whole number", input->text);
   else if (value < setting->min || value > setting->max)
-    findings_add (reading->findings, reading->place,
+    findings_add (input->findings, input->origin,
                   "%" PRId64 " is not from %" PRId64 " to %" PRId64, value,
                   setting->min, setting->max);
   else
-    *(int64_t *)field_of (reading) = value;
+    *(int64_t *)field_of (input) = value;
 }
 
-/* A number with or without digits after a point; those are cut off.  */
+/* Parses a number with an optional fraction, which is truncated.  */
 static void
-read_decimal (const struct reading *reading)
+read_decimal (const struct setting_input *input)
 {
-  size_t whole = strcspn (reading->text, ".");
-  const char *fraction = reading->text + whole + (reading->text[whole] == '.');
-  char *text = mem_printf ("%.*s", (int)whole, reading->text);
-  struct reading cut = *reading;
+  size_t whole = strcspn (input->text, ".");
+  const char *fraction = input->text + whole + (input->text[whole] == '.');
+  char *text = mem_printf ("%.*s", (int)whole, input->text);
+  struct setting_input truncated = *input;
   if (strspn (fraction, "0123456789") == strlen (fraction))
-    cut.text = text;
-  read_number (&cut);
+    truncated.text = text;
+  read_number (&truncated);
   free (text);
 }
 
 static void
-read_choice (const struct reading *reading)
+read_choice (const struct setting_input *input)
 {
-  const char *const *choices = reading->setting->choices;
+  const char *const *choices = input->setting->choices;
   for (int64_t i = 0; choices[i] != NULL; i++)
-    if (strcmp (choices[i], reading->text) == 0)
+    if (strcmp (choices[i], input->text) == 0)
       {
-        *(int64_t *)field_of (reading) = i;
+        *(int64_t *)field_of (input) = i;
         return;
       }
-  findings_add (reading->findings, reading->place,
-                "\"%s\" is not one of the words in the help", reading->text);
+  findings_add (input->findings, input->origin,
+                "\"%s\" is not one of the words in the help", input->text);
 }
 
 /* Parses NAME=ADDRESS:PORT.  */
@@ -193,10 +194,10 @@
 }
 
 static void
-read_seeds (const struct reading *reading)
+read_seeds (const struct setting_input *input)
 {
-  struct settings *settings = reading->settings;
-  char *copy = mem_strdup (reading->text);
+  struct settings *settings = input->settings;
+  char *copy = mem_strdup (input->text);
   char *rest = copy;
   char *item;
   settings->seeds = mem_zalloc (SEED_LIMIT * sizeof *settings->seeds);
@@ -206,14 +207,14 @@
         continue;
       if (settings->seed_count == SEED_LIMIT)
         {
-          findings_add (reading->findings, reading->place,
-                        "more than %lu seeds", SEED_LIMIT);
+          findings_add (input->findings, input->origin, "more than %lu seeds",
+                        SEED_LIMIT);
           break;
         }
       if (parse_seed (item, &settings->seeds[settings->seed_count]))
         settings->seed_count++;
       else
-        findings_add (reading->findings, reading->place,
+        findings_add (input->findings, input->origin,
                       "\"%s\" is not NAME=ADDRESS:PORT", item);
     }
   free (copy);
@@ -232,73 +233,74 @@
          && parsed == SETTINGS_KEY_BYTES;
 }
 
-/* The text of a key is never part of a finding.  */
+/* Findings never contain the text of a key.  */
 static void
-read_key (const struct reading *reading)
+read_key (const struct setting_input *input)
 {
-  if (!parse_key (reading->text, field_of (reading)))
-    findings_add (reading->findings, reading->place,
+  if (!parse_key (input->text, field_of (input)))
+    findings_add (input->findings, input->origin,
                   "is not %d hexadecimal digits", KEY_DIGITS);
 }
 
 static void
-read_setting (const struct reading *reading)
+read_setting (const struct setting_input *input)
 {
-  switch (reading->setting->type)
+  switch (input->setting->type)
     {
     case SETTING_NAME:
     case SETTING_TEXT:
     case SETTING_ADDRESS:
     case SETTING_HASH:
-      read_text (reading);
+      read_text (input);
       break;
     case SETTING_ENDPOINT:
-      read_endpoint (reading);
+      read_endpoint (input);
       break;
     case SETTING_NUMBER:
-      read_number (reading);
+      read_number (input);
       break;
     case SETTING_DECIMAL:
-      read_decimal (reading);
+      read_decimal (input);
       break;
     case SETTING_CHOICE:
-      read_choice (reading);
+      read_choice (input);
       break;
     case SETTING_SEEDS:
-      read_seeds (reading);
+      read_seeds (input);
       break;
     case SETTING_KEY:
-      read_key (reading);
+      read_key (input);
       break;
     }
 }
 
 static void
-resolve_one (struct settings *settings, size_t row,
-             const struct settings_source *source, struct findings *findings)
+resolve_setting (struct settings *settings, size_t row,
+                 const struct settings_source *source,
+                 struct findings *findings)
 {
   size_t count;
   const struct setting *setting = &settings_table (&count)[row];
   char *variable = setting_variable (setting);
   char *flag = mem_printf ("--%s", setting->name);
   const char *text = source->variable (variable);
-  struct reading reading = { .settings = settings,
-                             .setting = setting,
-                             .text = setting->fallback,
-                             .place = "default",
-                             .findings = findings };
+  struct setting_input input = { .settings = settings,
+                                 .setting = setting,
+                                 .text = setting->fallback,
+                                 .origin = "default",
+                                 .findings = findings };
   if (source->flags[row] != NULL)
     {
-      reading.text = source->flags[row];
-      reading.place = flag;
+      input.text = source->flags[row];
+      input.origin = flag;
     }
   else if (text != NULL)
     {
-      reading.text = text;
-      reading.place = variable;
+      input.text = text;
+      input.origin = variable;
     }
-  if (reading.text != NULL)
-    read_setting (&reading);
+  if (input.text != NULL)
+    read_setting (&input);
   else if (setting->required)
     findings_add (findings, flag, "is required; %s sets it too", variable);
   free (variable);
@@ -337,11 +339,12 @@
   if (length < 0)
     findings_add (findings, path, "%s", strerror (errno));
   text[strcspn (text, "\r\n")] = '\0';
-  size_t used = strlen (text);
+  size_t token_length = strlen (text);
   bool printable = true;
-  for (size_t i = 0; i < used; i++)
+  for (size_t i = 0; i < token_length; i++)
     printable = printable && text[i] > ' ' && text[i] <= '~';
-  if (length >= 0 && (used == 0 || used == sizeof text - 1 || !printable))
+  if (length >= 0
+      && (token_length == 0 || token_length == sizeof text - 1 || !printable))
     findings_add (findings, path, "is not a token of 1 to %d characters",
                   TOKEN_FILE_BYTES - 2);
   else if (length >= 0)
@@ -352,7 +355,8 @@
   return token;
 }
 
-/* Makes sure of one key, from its variable or its file.  */
+/* Loads a key from its file unless its variable is set.  Adds a finding if
+   neither is given.  */
 static void
 resolve_key (const char *name, const char *path, uint8_t *key,
              const struct settings_source *source, struct findings *findings)
@@ -366,15 +370,16 @@
   free (variable);
 }
 
+/* Checks constraints beyond the range of a single setting.  */
 static void
 check_together (const struct settings *settings, struct findings *findings)
 {
-  static const char *const any[] = { "0.0.0.0", "::" };
-  for (size_t i = 0; i < sizeof any / sizeof any[0]; i++)
+  static const char *const wildcards[] = { "0.0.0.0", "::" };
+  for (size_t i = 0; i < sizeof wildcards / sizeof wildcards[0]; i++)
     if (settings->rpc_address != NULL
-        && strcmp (settings->rpc_address, any[i]) == 0)
+        && strcmp (settings->rpc_address, wildcards[i]) == 0)
       findings_add (findings, "--rpc-address",
-                    "%s can't be reached by other hosts", any[i]);
+                    "%s can't be reached by other hosts", wildcards[i]);
 }
 
 bool
@@ -384,11 +389,11 @@
 {
   size_t count;
   const struct setting *table = settings_table (&count);
-  size_t before = findings->count;
+  size_t count_before = findings->count;
   memset (settings, 0, sizeof *settings);
   for (size_t row = 0; row < count; row++)
     if (table[row].commands & commands)
-      resolve_one (settings, row, source, findings);
+      resolve_setting (settings, row, source, findings);
   if (commands & SETTINGS_RUN)
     {
       resolve_key ("token-key", settings->token_key_file, settings->token_key,
@@ -400,7 +405,7 @@
             = load_token_file (settings->platform_token_file, findings);
       check_together (settings, findings);
     }
-  return findings->count == before;
+  return findings->count == count_before;
 }
 
 void
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -1,9 +1,10 @@
-/* settings - the settings of the process, from one table.
+/* settings - the settings of the process, defined by one table.
 
-   Each row gives a setting's flag, variable, type, range, default and help.
-   Options of the command line, environment, manual page and validation all
-   come from the table.  A flag goes before its variable.  Secrets have no
-   flag: they come from a variable or from a file that a flag names.  */
+   Each row defines the flag, environment variable, type, range, default and
+   help of a setting.  The command line options, the environment variables, the
+   manual page and the validation are all derived from the table.  A flag takes
+   precedence over its variable.  Secrets have no flag: they come from a
+   variable or from a file whose path is a setting.  */
 
 #ifndef SAVORYWAY_CLI_SETTINGS_H
 #define SAVORYWAY_CLI_SETTINGS_H
@@ -17,43 +18,48 @@
 #include "core/view.h"
 #include "port/peer_port.h"
 
+/* Maximum number of rows.  */
 #define SETTINGS_LIMIT 64
+
+/* Size of a secret key.  */
 #define SETTINGS_KEY_BYTES 32
+
+/* Prefix of the environment variables.  */
 #define SETTINGS_PREFIX "SAVORYWAY_"
 
 enum setting_type
 {
   SETTING_NAME,     /* letters, digits, '.', '_' and '-' */
-  SETTING_TEXT,     /* any text, such as the path of a file */
+  SETTING_TEXT,     /* any text, such as a file path */
   SETTING_ADDRESS,  /* IP number */
   SETTING_ENDPOINT, /* IP number and port, ADDRESS:PORT */
-  SETTING_HASH,     /* secret_hash of the configuration */
-  SETTING_NUMBER,
-  SETTING_DECIMAL, /* likewise; a fraction is cut off */
-  SETTING_CHOICE,  /* one of some words */
-  SETTING_SEEDS,   /* NAME=ADDRESS:PORT,... */
-  SETTING_KEY      /* 64 hexadecimal digits; has no flag */
+  SETTING_HASH,     /* as secret_hash in the configuration */
+  SETTING_NUMBER,   /* integer */
+  SETTING_DECIMAL,  /* decimal fraction, truncated to an integer */
+  SETTING_CHOICE,   /* a word of choices, stored as its index */
+  SETTING_SEEDS,    /* NAME=ADDRESS:PORT,... */
+  SETTING_KEY       /* 64 hexadecimal digits; has no flag */
 };
 
-/* Which commands take a setting.  */
+/* Groups of commands that accept a setting; a bit mask.  */
 enum
 {
-  SETTINGS_RUN = 1,
-  SETTINGS_OPERATOR = 2, /* commands that ask an operators' listener */
-  SETTINGS_CALLER = 4,   /* commands that ask a callers' listener */
+  SETTINGS_RUN = 1,      /* the host */
+  SETTINGS_OPERATOR = 2, /* commands that call an operators' listener */
+  SETTINGS_CALLER = 4,   /* commands that call a callers' listener */
   SETTINGS_SERVE = 8     /* the host on the users' platform */
 };
 
 struct setting
 {
-  const char *name; /* of the flag, without dashes */
+  const char *name; /* of the flag, without the leading dashes */
   enum setting_type type;
-  unsigned commands;
+  unsigned commands; /* bit mask of SETTINGS_RUN etc. */
   bool required;
   size_t offset; /* in struct settings */
-  int64_t min;
+  int64_t min;   /* of a number, or of the port of an endpoint */
   int64_t max;
-  const char *const *choices; /* ends with NULL */
+  const char *const *choices; /* NULL-terminated */
   const char *fallback;       /* default as text; NULL for none */
   const char *help;
 };
@@ -65,7 +71,7 @@
   uint16_t port;
 };
 
-/* Values of all settings.  */
+/* Values of all settings.  Strings are NULL if not set.  */
 struct settings
 {
   char *host;
@@ -79,7 +85,7 @@
   char *platform_address;
   int64_t platform_port;
   char *platform_token_file;
-  char *platform_token; /* from that file; NULL if none is set */
+  char *platform_token; /* read from that file */
   char *database_user;
   char *database_name;
   char *admin_secret_hash;
@@ -108,51 +114,54 @@
   int64_t link_mbps;
 };
 
-/* Splits TEXT, an ADDRESS:PORT; returns false if it is none.  */
+/* Parses TEXT as ADDRESS:PORT.  Returns false if it is malformed.  */
 bool endpoint_parse (struct endpoint *endpoint, const char *text);
 
-/* Where values come from.  */
+/* Sources of the values.  */
 struct settings_source
 {
-  const char *flags[SETTINGS_LIMIT]; /* by row of the table */
-  const char *(*variable) (const char *name);
+  const char *flags[SETTINGS_LIMIT];          /* by row of the table */
+  const char *(*variable) (const char *name); /* as getenv */
 };
 
-/* Returns the table and sets COUNT.  */
+/* Returns the table and sets COUNT to the number of its rows.  */
 const struct setting *settings_table (size_t *count);
 
-/* Reads, checks and stores all settings of COMMANDS.  Returns false if
-   FINDINGS were added; SETTINGS is to be cleared either way.  */
+/* Parses, validates and stores all settings of COMMANDS.  Returns false if it
+   added FINDINGS.  Call settings_clear on SETTINGS in either case.  */
 bool settings_resolve (struct settings *settings, unsigned commands,
                        const struct settings_source *source,
                        struct findings *findings);
+
+/* Frees the values and wipes the keys.  */
 void settings_clear (struct settings *settings);
 
-/* Writes "place: text" of each finding to OUT.  */
+/* Writes a line with origin and text of each finding to OUT.  */
 void settings_report (FILE *out, const struct findings *findings);
 
-/* Returns the syslog priority named NAME, or -1.  */
+/* Returns the syslog priority called NAME, or -1 if there is none.  */
 int settings_log_level (const char *name);
 
-/* Returns the variable's name of SETTING; the caller frees it.  */
+/* Returns the name of SETTING's environment variable; the caller frees it.  */
 char *setting_variable (const struct setting *setting);
 
-/* Returns a parser for the flags of COMMANDS, to be used as a child; its
-   input is a struct settings_source.  Valid until the process ends.  */
+/* Returns an argp parser for the flags of COMMANDS, to be used as a child of
+   the command's parser.  Its input is a struct settings_source.  It stays
+   valid until the process ends, but the next call overwrites its options.  */
 const struct argp *settings_argp (unsigned commands);
 
-/* Returns the help of SETTING with its words, default and variable; the
+/* Returns the help of SETTING with its choices, default and variable; the
    caller frees it.  */
 char *setting_help (const struct setting *setting);
 
-/* Parses the arguments of a command that takes only settings of COMMANDS, and
-   reads them as settings_from_flags does.  */
+/* Parses the arguments of a command that takes only settings of COMMANDS, then
+   does what settings_from_flags does.  */
 void settings_from_arguments (struct settings *settings, unsigned commands,
                               const char *doc, int argc, char **argv);
 
-/* Reads the settings of a command from the flags in SOURCE and from the
-   environment.  On wrong ones prints all findings and ends the process with
-   EXIT_WRONG_SETTINGS.  */
+/* Resolves the settings of a command from the flags in SOURCE and from the
+   environment.  If any is invalid, prints all findings to standard error and
+   exits with EXIT_WRONG_SETTINGS.  */
 void settings_from_flags (struct settings *settings, unsigned commands,
                           struct settings_source *source);
 
--- a/src/cli/settings_argp.c
+++ b/src/cli/settings_argp.c
@@ -5,11 +5,12 @@
 #include "cli/settings.h"
 #include "kernel/mem.h"
 
-/* Keys of flags begin above those of characters.  */
+/* Keys of the flags, above the range of characters so that argp derives no
+   short options.  */
 #define FIRST_KEY 1000
 
 static error_t
-keep_flag (int key, char *arg, struct argp_state *state)
+store_flag (int key, char *arg, struct argp_state *state)
 {
   struct settings_source *source = state->input;
   size_t count;
@@ -21,7 +22,7 @@
 }
 
 static const char *
-placeholder (const struct setting *setting)
+argument_name (const struct setting *setting)
 {
   switch (setting->type)
     {
@@ -45,7 +46,7 @@
     }
 }
 
-/* Returns the words of a choice, joined by '|', in parentheses.  */
+/* Returns " (A|B|...)" with the choices; "" if there are none.  */
 static char *
 choice_words (const struct setting *setting)
 {
@@ -82,7 +83,7 @@
 settings_argp (unsigned commands)
 {
   static struct argp_option options[SETTINGS_LIMIT + 1];
-  static struct argp argp = { .options = options, .parser = keep_flag };
+  static struct argp argp = { .options = options, .parser = store_flag };
   size_t count;
   size_t used = 0;
   const struct setting *table = settings_table (&count);
@@ -94,7 +95,7 @@
       options[used++] = (struct argp_option){
         .name = table[row].name,
         .key = FIRST_KEY + (int)row,
-        .arg = placeholder (&table[row]),
+        .arg = argument_name (&table[row]),
         .doc = setting_help (&table[row]),
       };
     }
@@ -122,7 +123,7 @@
 }
 
 static error_t
-no_option (int key, char *arg, struct argp_state *state)
+parse_no_options (int key, char *arg, struct argp_state *state)
 {
   (void)arg;
   if (key != ARGP_KEY_INIT)
@@ -137,7 +138,8 @@
 {
   struct argp_child children[]
       = { { settings_argp (commands), 0, "Settings:", 0 }, { 0 } };
-  struct argp argp = { .parser = no_option, .doc = doc, .children = children };
+  struct argp argp
+      = { .parser = parse_no_options, .doc = doc, .children = children };
   struct settings_source source = { 0 };
   argp_parse (&argp, argc, argv, 0, NULL, &source);
   settings_from_flags (settings, commands, &source);
--- a/src/cli/settings_table.c
+++ b/src/cli/settings_table.c
@@ -9,12 +9,12 @@
 
 #define FIELD(field) .offset = offsetof (struct settings, field)
 
-/* In the order of syslog priorities.  */
+/* Indexed by syslog priority.  */
 static const char *const log_levels[]
     = { "emerg",  "alert", "crit",  "err", "warning",
         "notice", "info",  "debug", NULL };
 
-/* In the order of enum policy.  */
+/* Indexed by enum policy.  */
 static const char *const policies[] = { "full", "plain", NULL };
 
 static const struct setting table[] = {
--- a/src/core/confedit.h
+++ b/src/core/confedit.h
@@ -47,7 +47,7 @@
   const char *path; /* below the team; NULL or "" for its whole subtree */
   const char *json; /* for CONFEDIT_SET */
   size_t json_bytes;
-  bool expects;          /* the team's index must equal expect_index */
+  bool checks_index;     /* the team's index must equal expect_index */
   uint64_t expect_index; /* from confedit_read; 0: the team must not exist */
   const char *who;       /* name of the operator */
   const char *secret;    /* the operator's or the administrator's secret */
--- a/src/core/confedit_job.c
+++ b/src/core/confedit_job.c
@@ -215,7 +215,7 @@
     }
   bool valid = confedit_edit (&job->proposed, request, &job->team,
                               job->confedit->view, &job->findings);
-  if (request->expects && request->expect_index != job->team.index)
+  if (request->checks_index && request->expect_index != job->team.index)
     {
       conflict (
           job, job->team.tree, job->proposed.tree,
--- a/tests/unit/test_confedit.c
+++ b/tests/unit/test_confedit.c
@@ -281,7 +281,7 @@
                     "[{\"path\":\"services/s/weight\",\"from\":1,\"to\":7}]");
   ck_assert_int_eq (weight (), 7);
   struct confedit_request request = set_request ("services/s/weight", "2");
-  request.expects = true;
+  request.checks_index = true;
   request.expect_index = got.index - 1;
   ck_assert_int_eq (submit_and_run (&request), CONFEDIT_CONFLICT);
   request.expect_index = got.index;
