--- a/src/cli/caller_answer.h
+++ b/src/cli/caller_answer.h
@@ -23,6 +23,6 @@
 
 /* Returns the value of Retry-After in seconds, rounded up; 0 if the header is
    to be omitted.  */
-int64_t caller_answer_retry_s (const struct entry_answer *answer);
+int64_t caller_answer_retry_after_s (const struct entry_answer *answer);
 
 #endif
--- a/src/cli/caller_request.h
+++ b/src/cli/caller_request.h
@@ -43,7 +43,7 @@
 };
 
 /* Reason for rejecting a request.  */
-struct caller_fault
+struct caller_request_error
 {
   int status;       /* HTTP status, 4xx */
   const char *code; /* such as "bad_request"; static */
@@ -54,13 +54,13 @@
    caller_request_clear on REQUEST in either case.  */
 bool caller_request_read (struct caller_request *request,
                           const struct caller_input *input,
-                          struct caller_fault *fault);
+                          struct caller_request_error *fault);
 
 /* Frees what REQUEST owns.  */
 void caller_request_clear (struct caller_request *request);
 
 /* Returns the JSON text of FAULT, which the caller frees, and clears its
    findings.  */
-char *caller_fault_print (struct caller_fault *fault);
+char *caller_request_error_print (struct caller_request_error *fault);
 
 #endif
--- a/src/cli/event_loop.h
+++ b/src/cli/event_loop.h
@@ -9,17 +9,17 @@
 
 /* Initialises CLK as a monotonic clock that includes time in which the machine
    is suspended, since leases expire and samples age during that too.  */
-void event_loop_clock (struct clk *clk);
+void event_loop_clock_init (struct clk *clk);
 
-/* Returns a timer for event_loop_once, to be freed with event_free.  */
-struct event *event_loop_timer (struct event_base *base);
+/* Returns a timer for event_loop_run_once, to be freed with event_free.  */
+struct event *event_loop_timer_new (struct event_base *base);
 
 /* Waits for an event or the kernel's next due time, whichever is first, and
    runs the callbacks that are due.  */
-void event_loop_once (struct event_base *base, struct event *timer,
-                      struct kernel *kernel);
+void event_loop_run_once (struct event_base *base, struct event *timer,
+                          struct kernel *kernel);
 
 /* Raises the limit of open file descriptors to the hard limit.  */
-void event_loop_raise_descriptors (void);
+void event_loop_raise_fd_limit (void);
 
 #endif
--- a/src/cli/http_client.h
+++ b/src/cli/http_client.h
@@ -36,7 +36,7 @@
   clk_ms timeout_ms; /* 0 is the default of 30 s */
 };
 
-struct http_client_answer
+struct http_client_response
 {
   int status; /* HTTP status; 0 if there was no response */
   char *body; /* NUL-terminated, which body_bytes excludes; never NULL */
@@ -50,13 +50,13 @@
    whatever its HTTP status, else -1.  Call http_client_clear on ANSWER in
    either case.  */
 int http_client_call (const struct http_client_request *request,
-                      struct http_client_answer *answer);
+                      struct http_client_response *answer);
 
 /* Frees the strings of ANSWER.  */
-void http_client_clear (struct http_client_answer *answer);
+void http_client_clear (struct http_client_response *answer);
 
 /* Returns the value of an Authorization header with Basic credentials; the
    caller frees it.  PASSWORD may be NULL.  */
-char *http_client_basic (const char *user, const char *password);
+char *http_client_basic_auth (const char *user, const char *password);
 
 #endif
--- a/src/cli/http_proxy.h
+++ b/src/cli/http_proxy_report.h
@@ -1,4 +1,4 @@
-/* http_proxy - read-only HTTP API for operators of a host on the users'
+/* http_proxy_report - read-only HTTP API for operators of a host on the users'
    platform.
 
    Serves /metrics, /v1/status, /v1/topology and
@@ -10,9 +10,9 @@
 #include "cli/http_server.h"
 #include "kernel/kernel.h"
 
-struct http_proxy;
+struct http_proxy_report;
 
-struct http_proxy_options
+struct http_proxy_report_options
 {
   struct http_server *server; /* listener whose requests are handled */
   struct kernel *kernel;
@@ -24,7 +24,8 @@
   void *arg;
 };
 
-struct http_proxy *http_proxy_new (const struct http_proxy_options *options);
-void http_proxy_free (struct http_proxy *proxy);
+struct http_proxy_report *
+http_proxy_report_new (const struct http_proxy_report_options *options);
+void http_proxy_report_free (struct http_proxy_report *proxy);
 
 #endif
--- a/src/cli/http_server.h
+++ b/src/cli/http_server.h
@@ -2,8 +2,8 @@
 
    A client that does not read its response within a time limit is
    disconnected, so that slow clients do not pin memory.  While the total of
-   unsent bytes is above a limit, http_server_full returns true and the user of
-   the server is to reject requests.  */
+   unsent bytes is above a limit, http_server_overloaded returns true and the
+   user of the server is to reject requests.  */
 
 #ifndef SAVORYWAY_CLI_HTTP_SERVER_H
 #define SAVORYWAY_CLI_HTTP_SERVER_H
@@ -24,7 +24,7 @@
   uint16_t port;       /* 0: chosen by the system */
   size_t body_limit_bytes;
   size_t header_limit_bytes;
-  size_t unsent_limit_bytes; /* see http_server_full; 0: 64 MiB */
+  size_t unsent_limit_bytes; /* see http_server_overloaded; 0: 64 MiB */
   clk_ms idle_ms;            /* closes connections idle for this long */
   clk_ms send_ms;            /* timeout for sending a response */
   struct clk *clk;
@@ -48,10 +48,10 @@
 void http_server_disable_keep_alive (struct http_server *server);
 
 /* Returns whether the unsent bytes exceed the limit.  */
-bool http_server_full (const struct http_server *server);
+bool http_server_overloaded (const struct http_server *server);
 
 /* Returns the number of responses that are not completely sent.  */
-size_t http_server_unsent (const struct http_server *server);
+size_t http_server_unsent_count (const struct http_server *server);
 
 /* Replies to REQUEST with TEXT of content type TYPE.  Takes ownership of TEXT,
    which must come from malloc.  */
--- a/src/cli/log_out.h
+++ b/src/cli/log_stdout.h
@@ -1,4 +1,4 @@
-/* log_out - writes log lines to standard output without blocking.
+/* log_stdout - writes log lines to standard output without blocking.
 
    Lines are buffered and written once per iteration of the event loop.  While
    the reader of the pipe does not keep up and the buffer is full, further
@@ -12,18 +12,18 @@
 /* Size of the buffer.  */
 #define LOG_OUT_BYTES ((size_t)64 * 1024)
 
-struct log_out;
+struct log_stdout;
 
 /* Makes standard output non-blocking.  CLK provides the timestamps.  */
-struct log_out *log_out_new (struct clk *clk);
+struct log_stdout *log_stdout_new (struct clk *clk);
 
 /* Flushes and frees OUT.  */
-void log_out_free (struct log_out *out);
+void log_stdout_free (struct log_stdout *out);
 
-/* Buffers LINE.  A log_sink; ARG is a struct log_out.  */
-void log_out_line (void *arg, int priority, const char *line);
+/* Buffers LINE.  A log_sink; ARG is a struct log_stdout.  */
+void log_stdout_line (void *arg, int priority, const char *line);
 
 /* Writes as much of the buffer as possible without blocking.  */
-void log_out_flush (struct log_out *out);
+void log_stdout_flush (struct log_stdout *out);
 
 #endif
