--- a/src/cli/caller_request.c
+++ b/src/cli/caller_request.c
@@ -27,16 +27,16 @@
 {
   struct caller_request *request;
   const struct caller_input *input;
-  struct caller_request_error *fault;
+  struct caller_request_error *error;
 };
 
 static bool
 refuse (struct reader *reader, int status, const char *code, const char *place,
         const char *text)
 {
-  reader->fault->status = status;
-  reader->fault->code = code;
-  findings_add (&reader->fault->findings, place, "%s", text);
+  reader->error->status = status;
+  reader->error->code = code;
+  findings_add (&reader->error->findings, place, "%s", text);
   return false;
 }
 
@@ -355,7 +355,7 @@
   if (!json_is_object (reader->request->body))
     return refuse (reader, 400, "bad_json", "body", "must be an object");
   read_members (reader);
-  return reader->fault->status == 0;
+  return reader->error->status == 0;
 }
 
 /* Copies the parameter NAME of QUERY to OUT, unless it is absent or empty.  */
@@ -386,18 +386,18 @@
   check_service (reader);
   if (!is_opaque_id (request->request_id, REQUEST_ID_BYTES))
     add_finding (reader, "path", "the request id is empty or too long");
-  return reader->fault->status == 0;
+  return reader->error->status == 0;
 }
 
 bool
 caller_request_read (struct caller_request *request,
                      const struct caller_input *input,
-                     struct caller_request_error *fault)
+                     struct caller_request_error *error)
 {
   struct reader reader
-      = { .request = request, .input = input, .fault = fault };
+      = { .request = request, .input = input, .error = error };
   memset (request, 0, sizeof *request);
-  memset (fault, 0, sizeof *fault);
+  memset (error, 0, sizeof *error);
   if (!read_action (&reader) || !read_headers (&reader))
     return false;
   if (request->entry.action == ENTRY_LOOKUP)
@@ -420,18 +420,18 @@
 }
 
 char *
-caller_request_error_print (struct caller_request_error *fault)
+caller_request_error_print (struct caller_request_error *error)
 {
   json_t *list = json_array ();
-  for (size_t i = 0; i < fault->findings.count; i++)
+  for (size_t i = 0; i < error->findings.count; i++)
     json_array_append_new (
-        list, json_pack ("{s:s, s:s}", "place", fault->findings.items[i].path,
-                         "text", fault->findings.items[i].text));
+        list, json_pack ("{s:s, s:s}", "place", error->findings.items[i].path,
+                         "text", error->findings.items[i].text));
   json_t *answer = json_pack ("{s:s, s:{s:s, s:o}}", "outcome", "not_run",
-                              "error", "code", fault->code, "findings", list);
+                              "error", "code", error->code, "findings", list);
   char *text = json_dumps (answer, JSON_COMPACT);
   json_decref (answer);
-  findings_clear (&fault->findings);
+  findings_clear (&error->findings);
   if (text == NULL)
     text = mem_strdup ("{\"outcome\":\"not_run\"}");
   return text;
--- a/src/cli/caller_request.h
+++ b/src/cli/caller_request.h
@@ -50,17 +50,17 @@
   struct findings findings;
 };
 
-/* Parses INPUT.  Returns false with FAULT set if it is malformed.  Call
+/* Parses INPUT.  Returns false with ERROR set if it is malformed.  Call
    caller_request_clear on REQUEST in either case.  */
 bool caller_request_read (struct caller_request *request,
                           const struct caller_input *input,
-                          struct caller_request_error *fault);
+                          struct caller_request_error *error);
 
 /* Frees what REQUEST owns.  */
 void caller_request_clear (struct caller_request *request);
 
-/* Returns the JSON text of FAULT, which the caller frees, and clears its
+/* Returns the JSON text of ERROR, which the caller frees, and clears its
    findings.  */
-char *caller_request_error_print (struct caller_request_error *fault);
+char *caller_request_error_print (struct caller_request_error *error);
 
 #endif
--- a/src/cli/http_caller.c
+++ b/src/cli/http_caller.c
@@ -97,17 +97,17 @@
 
 static void
 refuse (struct http_caller *caller, struct evhttp_request *request,
-        struct caller_request_error *fault)
+        struct caller_request_error *error)
 {
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
-  if (fault->status == 401)
+  if (error->status == 401)
     evhttp_add_header (headers, "WWW-Authenticate",
                        "Basic realm=\"savoryway\"");
-  if (fault->status == 405)
-    evhttp_add_header (headers, "Allow", fault->findings.items[0].text);
-  count_response (caller, fault->status);
-  http_server_reply (caller->options.server, request, fault->status, JSON_TYPE,
-                     caller_request_error_print (fault));
+  if (error->status == 405)
+    evhttp_add_header (headers, "Allow", error->findings.items[0].text);
+  count_response (caller, error->status);
+  http_server_reply (caller->options.server, request, error->status, JSON_TYPE,
+                     caller_request_error_print (error));
 }
 
 static void
@@ -157,7 +157,7 @@
   const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri (request);
   struct caller_input input = { 0 };
   struct caller_request parsed;
-  struct caller_request_error fault;
+  struct caller_request_error error;
   if (uri == NULL)
     {
       evhttp_send_error (request, 400, NULL);
@@ -171,10 +171,10 @@
   const char *encoded = evhttp_uri_get_path (uri);
   char *path = evhttp_uridecode (encoded != NULL ? encoded : "", 0, NULL);
   fill_input (&input, request, path != NULL ? path : "");
-  if (caller_request_read (&parsed, &input, &fault))
+  if (caller_request_read (&parsed, &input, &error))
     submit (caller, request, &parsed.entry);
   else
-    refuse (caller, request, &fault);
+    refuse (caller, request, &error);
   caller_request_clear (&parsed);
   free (path);
 }
--- a/src/cli/http_client.c
+++ b/src/cli/http_client.c
@@ -17,7 +17,7 @@
 struct exchange
 {
   struct event_base *base;
-  struct http_client_response *answer;
+  struct http_client_response *response;
   const char *failure; /* reported if no response arrives */
 };
 
@@ -70,21 +70,21 @@
 on_response (struct evhttp_request *request, void *arg)
 {
   struct exchange *exchange = arg;
-  struct http_client_response *answer = exchange->answer;
+  struct http_client_response *response = exchange->response;
   event_base_loopbreak (exchange->base);
   if (request == NULL || evhttp_request_get_response_code (request) == 0)
     return;
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
-  answer->status = evhttp_request_get_response_code (request);
-  answer->session
+  response->status = evhttp_request_get_response_code (request);
+  response->session
       = mem_strdup (evhttp_find_header (headers, "Savoryway-Session"));
-  answer->retry_after
+  response->retry_after
       = mem_strdup (evhttp_find_header (headers, "Retry-After"));
-  answer->body_bytes = evbuffer_get_length (input);
-  free (answer->body);
-  answer->body = mem_zalloc (answer->body_bytes + 1);
-  evbuffer_remove (input, answer->body, answer->body_bytes);
+  response->body_bytes = evbuffer_get_length (input);
+  free (response->body);
+  response->body = mem_zalloc (response->body_bytes + 1);
+  evbuffer_remove (input, response->body, response->body_bytes);
 }
 
 static void
@@ -137,13 +137,13 @@
 
 int
 http_client_call (const struct http_client_request *request,
-                  struct http_client_response *answer)
+                  struct http_client_response *response)
 {
   struct exchange exchange
-      = { .answer = answer, .failure = "connection failed" };
+      = { .response = response, .failure = "connection failed" };
   struct evhttp_connection *connection = NULL;
-  memset (answer, 0, sizeof *answer);
-  answer->body = mem_strdup ("");
+  memset (response, 0, sizeof *response);
+  response->body = mem_strdup ("");
   exchange.base = event_base_new ();
   if (exchange.base == NULL)
     goto out;
@@ -157,19 +157,19 @@
     evhttp_connection_free (connection);
   if (exchange.base != NULL)
     event_base_free (exchange.base);
-  if (answer->status != 0)
+  if (response->status != 0)
     return 0;
-  answer->error = mem_printf ("%s:%u: %s", request->address,
-                              (unsigned)request->port, exchange.failure);
+  response->error = mem_printf ("%s:%u: %s", request->address,
+                                (unsigned)request->port, exchange.failure);
   return -1;
 }
 
 void
-http_client_clear (struct http_client_response *answer)
+http_client_clear (struct http_client_response *response)
 {
-  free (answer->body);
-  free (answer->session);
-  free (answer->retry_after);
-  free (answer->error);
-  memset (answer, 0, sizeof *answer);
+  free (response->body);
+  free (response->session);
+  free (response->retry_after);
+  free (response->error);
+  memset (response, 0, sizeof *response);
 }
--- a/src/cli/http_config.c
+++ b/src/cli/http_config.c
@@ -271,12 +271,12 @@
   struct http_basic basic;
   char *value = NULL;
   json_t *body = read_body (request);
-  const char *fault = read_change (body, &change, &value);
+  const char *error = read_change (body, &change, &value);
   if (!http_basic_parse (&basic,
                          evhttp_find_header (headers, "Authorization")))
     refuse (pending, 401, "Basic credentials of an operator are required");
-  else if (fault != NULL)
-    refuse (pending, 400, fault);
+  else if (error != NULL)
+    refuse (pending, 400, error);
   else
     {
       change.who = basic.name;
--- a/src/cli/http_proxy_report.h
+++ b/src/cli/http_proxy_report.h
@@ -4,8 +4,8 @@
    Serves /metrics, /v1/status, /v1/topology and
    /v1/explain?database=NAME.  */
 
-#ifndef SAVORYWAY_CLI_HTTP_PROXY_H
-#define SAVORYWAY_CLI_HTTP_PROXY_H
+#ifndef SAVORYWAY_CLI_HTTP_PROXY_REPORT_H
+#define SAVORYWAY_CLI_HTTP_PROXY_REPORT_H
 
 #include "cli/http_server.h"
 #include "kernel/kernel.h"
@@ -26,6 +26,6 @@
 
 struct http_proxy_report *
 http_proxy_report_new (const struct http_proxy_report_options *options);
-void http_proxy_report_free (struct http_proxy_report *proxy);
+void http_proxy_report_free (struct http_proxy_report *http);
 
 #endif
--- a/src/cli/log_stdout.c
+++ b/src/cli/log_stdout.c
@@ -14,7 +14,7 @@
   struct clk *clk;
   size_t used;      /* bytes */
   uint64_t dropped; /* lines since the last one that fitted */
-  char buffer[LOG_OUT_BYTES];
+  char buffer[LOG_STDOUT_BYTES];
 };
 
 struct log_stdout *
--- a/src/cli/log_stdout.h
+++ b/src/cli/log_stdout.h
@@ -4,13 +4,13 @@
    the reader of the pipe does not keep up and the buffer is full, further
    lines are dropped; the next line that fits reports their number.  */
 
-#ifndef SAVORYWAY_CLI_LOG_OUT_H
-#define SAVORYWAY_CLI_LOG_OUT_H
+#ifndef SAVORYWAY_CLI_LOG_STDOUT_H
+#define SAVORYWAY_CLI_LOG_STDOUT_H
 
 #include "kernel/clock.h"
 
 /* Size of the buffer.  */
-#define LOG_OUT_BYTES ((size_t)64 * 1024)
+#define LOG_STDOUT_BYTES ((size_t)64 * 1024)
 
 struct log_stdout;
 
