--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -1,10 +1,11 @@
-/* fleet - hosts, instances and the platform's store in one process, on
-   virtual time.
+/* fleet - simulates hosts, instances and the platform's store in one process,
+   on virtual time.
 
    The hosts run the real modules of src/proxy.  Instances, store and
-   promotions are models of what the platform's pages say of them; faults are
-   set by the test.  An oracle notes what instances ran and what callers were
-   told, and names the first promise that is broken.  */
+   promotions are models that follow the platform's documentation.  The test
+   injects faults.  An oracle records the statements that instances execute
+   and the answers that callers receive, and reports the first violated
+   guarantee.  */
 
 #ifndef SAVORYWAY_FLEET_FLEET_H
 #define SAVORYWAY_FLEET_FLEET_H
@@ -26,18 +27,24 @@
 #include "proxy/roster.h"
 #include "proxy/suspicions.h"
 
+/* Most hosts of a fleet: enough for relays in each failure domain.  */
 #define FLEET_HOSTS 42
-#define FLEET_USUAL_HOSTS 6
+#define FLEET_DEFAULT_HOSTS 6
 #define FLEET_INSTANCES 3
+/* Number of failure domains.  */
 #define FLEET_ZONES 3
 #define FLEET_GROUP "ledger"
+/* Groups of the configuration; only FLEET_GROUP has instances.  */
 #define FLEET_GROUPS 4
 #define FLEET_DATABASE_PRIMARY "db-primary"
 #define FLEET_DATABASE_BOUNDED "db-bounded"
 #define FLEET_DATABASE_SESSION "db-session"
+/* Staleness limit of FLEET_DATABASE_BOUNDED and FLEET_DATABASE_SESSION.  */
 #define FLEET_STALENESS_MS 1500
+/* Time from the platform's acceptance of a promotion to the new primary.  */
 #define FLEET_PROMOTE_MS 300
-#define FLEET_LOG 65536
+/* Most acknowledged commits that the oracle records.  */
+#define FLEET_MAX_ACKS 65536
 
 struct fleet;
 struct fleet_call;
@@ -50,18 +57,18 @@
   char zone[NAME_BYTES];
   struct position applied;
   struct position received;
-  bool leads;
-  uint64_t
-      lead_term; /* of a leader that has not applied its log yet; else 0 */
+  bool is_primary;
+  /* Term of a primary that has not applied its log yet, else 0.  */
+  uint64_t unapplied_term;
   bool draining;
-  bool absent; /* from the store */
-  bool dark;   /* silent, new connections too */
-  bool deaf;   /* receives nothing from the primary */
-  clk_ms lag_ms;
+  bool unregistered;        /* has no entry in the store */
+  bool unreachable;         /* answers nothing, not even connects */
+  bool replication_stopped; /* receives no log from the primary */
+  clk_ms lag_ms;            /* from receiving a log position to applying it */
   uint32_t connections;
   uint32_t max_connections;
-  uint32_t busy_percent;
-  uint32_t lost_percent; /* of the answers to statements that ran */
+  uint32_t busy_percent; /* of the statements, answered with CODE_BUSY */
+  uint32_t lost_percent; /* of the answers to executed statements */
 };
 
 /* A host under test.  */
@@ -71,7 +78,7 @@
   char name[NAME_BYTES];
   char zone[NAME_BYTES];
   bool running;
-  uint64_t life; /* rises with each start */
+  uint64_t incarnation; /* increases with each start */
   struct kernel *kernel;
   struct rng rng;
   struct catalog *catalog;
@@ -79,107 +86,121 @@
   struct callers *callers;
   struct roster *roster;
   struct promoter *promoter;
-  bool store_cut;
-  bool cut[FLEET_INSTANCES]; /* from an instance */
+  bool store_cut;                      /* can't reach the store */
+  bool instances_cut[FLEET_INSTANCES]; /* can't reach an instance */
   struct instance_port instances;
   struct platform_port store;
   struct promote_port promote;
   struct hosts *others;
   struct forwarded_sessions *forwarded_sessions;
-  bool peers_cut; /* from all other hosts */
+  bool peers_cut; /* can't reach any other host */
   struct peer_port peers;
   peer_handler peer_handler;
   void *peer_arg;
   uint64_t next_call;
-  struct fleet_call *calls; /* made by this host */
+  struct fleet_call *calls; /* from this host, in flight */
 };
 
+/* Creates a fleet and starts its HOSTS hosts.  SEED determines all random
+   draws.  */
 struct fleet *fleet_new (uint64_t seed, size_t hosts);
-/* The same, where an instance has so many connections.  */
-struct fleet *fleet_new_scarce (uint64_t seed, size_t hosts,
-                                uint32_t connections);
+/* Like fleet_new, with CONNECTIONS as the connection limit of an instance.  */
+struct fleet *fleet_new_limited (uint64_t seed, size_t hosts,
+                                 uint32_t connections);
 void fleet_free (struct fleet *fleet);
 
 struct fleet_host *fleet_host (struct fleet *fleet, size_t index);
 struct fleet_instance *fleet_instance (struct fleet *fleet, size_t index);
 clk_ms fleet_now (struct fleet *fleet);
 
-/* Runs for SPAN_MS.  */
+/* Runs the fleet for SPAN_MS of virtual time.  */
 void fleet_run (struct fleet *fleet, clk_ms span_ms);
 
 void fleet_host_start (struct fleet_host *host);
-/* Ends a host as a kill does: its connections close, its leases stay.  */
+/* Stops a host like SIGKILL: its connections close, its leases remain until
+   they expire.  */
 void fleet_host_kill (struct fleet_host *host);
 
-/* Writes what instance says of itself to the hosts' catalogues.  */
+/* Updates the catalogues of the hosts with the instances' current entries.  */
 void fleet_publish (struct fleet *fleet);
 
-/* The instance that leads, or NULL.  */
-struct fleet_instance *fleet_leader (struct fleet *fleet);
+/* Returns the current primary, or NULL.  */
+struct fleet_instance *fleet_primary (struct fleet *fleet);
 
-/* Makes the store silent, or lets it answer again.  */
+/* Makes the store stop answering (DOWN) or answer again.  */
 void fleet_store_down (struct fleet *fleet, bool down);
-/* Forgets the watches that wait: they are answered by nothing.  */
+/* Drops all pending watches: the store never answers them, though their
+   connections stay open.  */
 void fleet_store_drop_watches (struct fleet *fleet);
-/* The same for the watch of one host.  */
+/* Drops the pending watches of HOST.  */
 void fleet_store_drop_watch (struct fleet_host *host);
-/* Forgets the store's history, so that watches get PLATFORM_COMPACTED.  */
+/* Compacts the store's history, so that watches fail with
+   PLATFORM_COMPACTED.  */
 void fleet_store_compact (struct fleet *fleet);
-/* Calls made to the store so far.  */
+/* Returns the number of calls to the store so far.  */
 uint64_t fleet_store_calls (const struct fleet *fleet);
-/* Watches among them.  */
+/* Returns the number of watch calls among them.  */
 uint64_t fleet_store_watches (const struct fleet *fleet);
 
-/* Promotions carried out, and the highest token seen.  */
+/* Returns the number of completed promotions.  */
 uint64_t fleet_promotions (const struct fleet *fleet);
+/* Returns the highest fencing token that the platform has received.  */
 uint64_t fleet_token (const struct fleet *fleet);
 
-/* The first broken promise, or NULL.  */
-const char *fleet_broken (const struct fleet *fleet);
+/* Returns a description of the first violated guarantee, or NULL.  */
+const char *fleet_violation (const struct fleet *fleet);
 
-/* Private to the fleet: oracle.  */
-struct fleet_run_note
+/* Execution of a statement by an instance, for the oracle.  The oracle_
+   functions are called by the model of the instances only.  */
+struct fleet_execution
 {
   const char *id;
   const char *text;
   uint64_t link;
-  uint64_t tx; /* 0: a statement of its own */
+  uint64_t tx; /* 0: outside a transaction */
   const char *values;
   struct position position;
 };
-void oracle_ran (struct fleet *fleet, const struct fleet_run_note *note,
-                 bool writes);
+/* A read or write was executed; WRITES tells which.  */
+void oracle_executed (struct fleet *fleet,
+                      const struct fleet_execution *execution, bool writes);
+/* The transaction TX on LINK was committed by the statement COMMIT_ID.  */
 void oracle_committed (struct fleet *fleet, uint64_t link, uint64_t tx,
                        const char *commit_id, struct position position);
+/* The write ID outside a transaction was committed.  */
 void oracle_single_write (struct fleet *fleet, const char *id,
                           struct position position);
+/* A promotion discarded all commits after BEYOND.  */
 void oracle_rolled_back (struct fleet *fleet, struct position beyond,
                          uint64_t new_term);
 
-/* What a caller does; the oracle checks the answers.  */
+/* Session of a caller.  The oracle checks every answer to it.  */
 struct fleet_caller;
 
 struct fleet_caller *fleet_caller_open (struct fleet_host *host,
                                         const char *database);
 void fleet_caller_close (struct fleet_caller *caller);
-/* Sends a statement with a new id.  Text is as on the wire for READ and
-   WRITE; NAME and REST serve the others.  */
+/* Sends a statement with a new id.  For STMT_READ and STMT_WRITE, NAME
+   follows the verb in the text of the statement.  For the other kinds, NAME
+   and REST are the fields of the statement.  */
 void fleet_caller_send (struct fleet_caller *caller, enum stmt_kind kind,
                         const char *name, const char *rest);
+/* Returns whether the last statement is still unanswered.  */
 bool fleet_caller_waits (const struct fleet_caller *caller);
 enum code fleet_caller_code (const struct fleet_caller *caller);
 enum tx_state fleet_caller_state (const struct fleet_caller *caller);
 clk_ms fleet_caller_took_ms (const struct fleet_caller *caller);
-/* Instance that served the last statement that ran; "" if none did.  */
+/* Returns the id of the instance that executed the last statement, or "" if
+   none did.  */
 const char *fleet_caller_server (const struct fleet_caller *caller);
 
-/* The whole, for its own files.  */
+/* From here on: internal to tests/fleet.  */
 struct fleet
 {
   struct clk_virtual clk;
   struct rng rng;
   struct log *log;
-  struct kernel *kernel; /* the world's own timers */
+  struct kernel *kernel; /* timers of the simulation itself */
   size_t host_count;
   struct fleet_host hosts[FLEET_HOSTS];
   struct fleet_instance instances[FLEET_INSTANCES];
@@ -188,30 +209,32 @@
   uint64_t next_id;
   uint64_t promotions;
   uint64_t token;
-  uint32_t connections; /* of an instance, as configured */
+  uint32_t connections; /* configured connection limit of an instance */
   struct fleet_store *store;
   struct fleet_oracle *oracle;
-  char broken[256];
+  char violation[256];
 };
 
-void fleet_break (struct fleet *fleet, const char *format, ...)
+/* Records a violated guarantee; only the first is kept.  */
+void fleet_report_violation (struct fleet *fleet, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 void fleet_instance_ports (struct fleet_host *host);
 void fleet_store_ports (struct fleet_host *host);
 void fleet_peer_ports (struct fleet_host *host);
-/* Drops the calls of a host that ended.  */
-void fleet_peer_forget (struct fleet_host *host);
+/* Discards the calls of a stopped host without calling their callbacks.  */
+void fleet_peer_abandon_calls (struct fleet_host *host);
 struct fleet_store *fleet_store_new (struct fleet *fleet);
 void fleet_store_free (struct fleet_store *store);
-/* Drops the calls of a host that ended.  */
-void fleet_store_forget (struct fleet_host *host);
+/* Lets the store's calls of a stopped host complete without their
+   callbacks.  */
+void fleet_store_abandon_calls (struct fleet_host *host);
 struct fleet_oracle *fleet_oracle_new (struct fleet *fleet);
 void fleet_oracle_free (struct fleet_oracle *oracle);
 bool fleet_status_parse (struct instance_status *status,
                          const struct answer *answer);
 
-/* Runs FN (ARG) after SPAN_MS.  */
-void fleet_later (struct fleet *fleet, clk_ms span_ms, void (*fn) (void *),
-                  void *arg);
+/* Calls FN (ARG) after SPAN_MS of virtual time.  */
+void fleet_schedule (struct fleet *fleet, clk_ms span_ms, void (*fn) (void *),
+                     void *arg);
 
 #endif
--- a/tests/fleet/fleet_instance.c
+++ b/tests/fleet/fleet_instance.c
@@ -9,17 +9,26 @@
 #include "proxy/values.h"
 #include "tests/fleet/fleet.h"
 
+/* Model of the instances and of promotion by the platform.  */
+
+/* One-way delay of a message.  */
 #define NET_MS 1
 #define CONNECT_MS 2
+/* Upper limit, exclusive, of the execution time of a statement.  */
 #define WORK_LIMIT_MS 16
-#define DROPPED_MS 3000 /* a connection whose peer is unreachable */
+/* Time until an instance notices that an unreachable host has closed a
+   connection.  */
+#define DEAD_PEER_TIMEOUT_MS 3000
+/* Most unanswered statements of a connection.  */
 #define QUEUE 256
 #define TEXT_BYTES 256
 #define VALUES_BYTES 512
+/* Most prepared statements of a connection.  */
 #define STATEMENTS 128
 #define BODY_BYTES 1024
 
-struct sent
+/* A statement that an instance has not answered yet.  */
+struct queued_statement
 {
   enum stmt_kind kind;
   char id[NAME_BYTES];
@@ -38,7 +47,8 @@
   bool writes;
 };
 
-/* One connection.  It lives until both ends have let go of it.  */
+/* A connection.  Freed when the host has closed it and no step of it is
+   scheduled.  */
 struct instance_link
 {
   struct fleet *fleet;
@@ -47,22 +57,22 @@
   const struct instance_events *events;
   void *arg;
   uint64_t serial;
-  bool counted;
-  bool dead;    /* the instance closed it */
-  bool running; /* a statement is on its way */
-  uint64_t steps;
+  bool counted;   /* in the connections of the instance */
+  bool dead;      /* delivers nothing more to the host */
+  bool running;   /* a statement is in flight */
+  uint64_t steps; /* scheduled */
   size_t head;
   size_t count;
-  struct sent queue[QUEUE];
+  struct queued_statement queue[QUEUE];
   enum tx_state state;
-  bool plain;
-  bool wrote;
-  bool lost_lead;
+  bool read_write; /* the transaction requires the primary */
+  bool wrote;      /* in the transaction */
+  bool demoted;    /* the instance was, during the transaction */
   uint64_t tx;
   struct values values;
   size_t prepared_count;
   struct prepared_name prepared[STATEMENTS];
-  struct answer answer; /* on its way back */
+  struct answer answer; /* in flight */
   char body[BODY_BYTES];
   bool lose_answer;
 };
@@ -71,12 +81,12 @@
 is_cut (const struct instance_link *link)
 {
   size_t index = (size_t)(link->instance - link->fleet->instances);
-  return link->instance->dark
-         || (link->host != NULL && link->host->cut[index]);
+  return link->instance->unreachable
+         || (link->host != NULL && link->host->instances_cut[index]);
 }
 
 static void
-uncount (struct instance_link *link)
+free_connection (struct instance_link *link)
 {
   if (link->counted)
     link->instance->connections--;
@@ -85,16 +95,16 @@
 }
 
 static void
-release (struct instance_link *link)
+free_if_unused (struct instance_link *link)
 {
   if (link->host != NULL || link->steps > 0)
     return;
-  uncount (link);
+  free_connection (link);
   values_clear (&link->values);
   free (link);
 }
 
-/* Steps of a link that are scheduled keep it alive.  */
+/* A scheduled step of a connection; keeps the connection allocated.  */
 struct step
 {
   struct instance_link *link;
@@ -110,17 +120,17 @@
   free (step);
   fn (link);
   link->steps--;
-  release (link);
+  free_if_unused (link);
 }
 
 static void
-later (struct instance_link *link, clk_ms span_ms,
-       void (*fn) (struct instance_link *link))
+schedule_step (struct instance_link *link, clk_ms span_ms,
+               void (*fn) (struct instance_link *link))
 {
   struct step *step = mem_zalloc (sizeof *step);
   *step = (struct step){ link, fn };
   link->steps++;
-  fleet_later (link->fleet, span_ms, run_step, step);
+  fleet_schedule (link->fleet, span_ms, run_step, step);
 }
 
 static void run_next (struct instance_link *link);
@@ -134,7 +144,6 @@
   link->head = (link->head + 1) % QUEUE;
   if (is_cut (link) || link->lose_answer || link->dead)
     {
-      /* Nothing further comes over it.  */
       link->dead = true;
       return;
     }
@@ -170,7 +179,7 @@
   return rng_below (&link->fleet->rng, 100) < percent;
 }
 
-/* What a replica has applied once its lag has passed.  */
+/* A position that a replica has received and applies after its lag.  */
 struct replication
 {
   struct fleet_instance *replica;
@@ -182,7 +191,7 @@
 {
   struct replication *step = arg;
   struct fleet_instance *replica = step->replica;
-  if (!replica->leads && replica->received.term == step->position.term
+  if (!replica->is_primary && replica->received.term == step->position.term
       && position_compare (replica->applied, step->position) < 0
       && position_compare (step->position, replica->received) <= 0)
     replica->applied = step->position;
@@ -193,48 +202,49 @@
 receive (struct fleet_instance *replica, struct position position)
 {
   struct replication *step = mem_zalloc (sizeof *step);
-  if (replica->deaf || replica->dark)
+  if (replica->replication_stopped || replica->unreachable)
     {
       free (step);
       return;
     }
   replica->received = position;
   *step = (struct replication){ replica, position };
-  fleet_later (replica->fleet, replica->lag_ms, apply, step);
+  fleet_schedule (replica->fleet, replica->lag_ms, apply, step);
 }
 
-/* A new leader has applied all that it had received.  */
+/* Ends the recovery of a new primary: everything that it had received is
+   applied.  */
 static void
-apply_all (struct fleet_instance *leader)
+apply_received (struct fleet_instance *primary)
 {
-  if (leader->lead_term == 0)
+  if (primary->unapplied_term == 0)
     return;
-  leader->applied
-      = (struct position){ leader->lead_term, leader->received.lsn };
-  leader->received = leader->applied;
-  leader->lead_term = 0;
+  primary->applied
+      = (struct position){ primary->unapplied_term, primary->received.lsn };
+  primary->received = primary->applied;
+  primary->unapplied_term = 0;
 }
 
 static void
-applied_all (void *arg)
+replay_done (void *arg)
 {
-  struct fleet_instance *leader = arg;
-  if (leader->leads)
-    apply_all (leader);
+  struct fleet_instance *primary = arg;
+  if (primary->is_primary)
+    apply_received (primary);
 }
 
 static struct position
 commit_position (struct instance_link *link)
 {
-  struct fleet_instance *leader = link->instance;
-  apply_all (leader);
-  leader->applied.lsn++;
-  leader->received = leader->applied;
+  struct fleet_instance *primary = link->instance;
+  apply_received (primary);
+  primary->applied.lsn++;
+  primary->received = primary->applied;
   for (size_t i = 0; i < FLEET_INSTANCES; i++)
-    if (&link->fleet->instances[i] != leader
-        && !link->fleet->instances[i].leads)
-      receive (&link->fleet->instances[i], leader->applied);
-  return leader->applied;
+    if (&link->fleet->instances[i] != primary
+        && !link->fleet->instances[i].is_primary)
+      receive (&link->fleet->instances[i], primary->applied);
+  return primary->applied;
 }
 
 static const struct prepared_name *
@@ -246,20 +256,21 @@
   return NULL;
 }
 
-/* Runs a read or write that was accepted.  */
+/* Executes an accepted read or write.  */
 static void
-run_statement (struct instance_link *link, const struct sent *sent,
+run_statement (struct instance_link *link, const struct queued_statement *sent,
                const char *text, bool writes)
 {
   char values[VALUES_BYTES];
-  struct fleet_run_note note = { .id = sent->id,
-                                 .text = text,
-                                 .link = link->serial,
-                                 .tx = link->state == TX_OPEN ? link->tx : 0,
-                                 .values = values,
-                                 .position = link->instance->applied };
+  struct fleet_execution execution
+      = { .id = sent->id,
+          .text = text,
+          .link = link->serial,
+          .tx = link->state == TX_OPEN ? link->tx : 0,
+          .values = values,
+          .position = link->instance->applied };
   print_values (&link->values, values);
-  oracle_ran (link->fleet, &note, writes);
+  oracle_executed (link->fleet, &execution, writes);
   if (writes && link->state == TX_OPEN)
     link->wrote = true;
   else if (writes)
@@ -272,7 +283,7 @@
 }
 
 static void
-do_statement (struct instance_link *link, const struct sent *sent)
+do_statement (struct instance_link *link, const struct queued_statement *sent)
 {
   bool writes = sent->kind == STMT_WRITE;
   char text[2 * TEXT_BYTES + 4];
@@ -293,7 +304,7 @@
       writes = prepared->writes;
       snprintf (text, sizeof text, "%s(%s)", prepared->shape, sent->rest);
     }
-  if (link->lost_lead || (writes && !link->instance->leads))
+  if (link->demoted || (writes && !link->instance->is_primary))
     fail (link, CODE_READONLY);
   else if (sent->has_after
            && position_compare (link->instance->applied, sent->after) < 0)
@@ -305,12 +316,12 @@
 }
 
 static void
-do_begin (struct instance_link *link, const struct sent *sent)
+do_begin (struct instance_link *link, const struct queued_statement *sent)
 {
-  bool plain = sent->kind == STMT_BEGIN;
+  bool read_write = sent->kind == STMT_BEGIN;
   if (link->state != TX_IDLE)
     fail (link, CODE_MALFORMED);
-  else if (plain && !link->instance->leads)
+  else if (read_write && !link->instance->is_primary)
     link->answer.code = CODE_READONLY;
   else if (sent->has_after
            && position_compare (link->instance->applied, sent->after) < 0)
@@ -318,15 +329,15 @@
   else
     {
       link->state = TX_OPEN;
-      link->plain = plain;
+      link->read_write = read_write;
       link->wrote = false;
-      link->lost_lead = false;
+      link->demoted = false;
       link->tx = ++link->fleet->next_tx;
     }
 }
 
 static void
-do_commit (struct instance_link *link, const struct sent *sent)
+do_commit (struct instance_link *link, const struct queued_statement *sent)
 {
   if (link->state == TX_FAILED)
     {
@@ -334,7 +345,7 @@
       link->state = TX_IDLE;
       return;
     }
-  if (link->lost_lead && link->wrote)
+  if (link->demoted && link->wrote)
     {
       link->answer.code = CODE_READONLY;
       link->state = TX_IDLE;
@@ -342,7 +353,7 @@
     }
   if (chance (link, link->instance->busy_percent))
     {
-      /* Refused, it leaves the transaction open.  */
+      /* A refused commit leaves the transaction open.  */
       link->answer.code = CODE_BUSY;
       return;
     }
@@ -358,7 +369,7 @@
 }
 
 static void
-do_prepare (struct instance_link *link, const struct sent *sent)
+do_prepare (struct instance_link *link, const struct queued_statement *sent)
 {
   if (link->prepared_count == STATEMENTS)
     {
@@ -372,17 +383,17 @@
 }
 
 static void
-lose_lead (struct fleet_instance *instance)
+demote (struct fleet_instance *instance)
 {
-  instance->leads = false;
-  apply_all (instance);
+  instance->is_primary = false;
+  apply_received (instance);
 }
 
 static void
-do_stepdown (struct instance_link *link, const struct sent *sent)
+do_stepdown (struct instance_link *link, const struct queued_statement *sent)
 {
   if (sent->term > link->instance->applied.term)
-    lose_lead (link->instance);
+    demote (link->instance);
 }
 
 static void
@@ -391,9 +402,9 @@
   const struct fleet_instance *instance = link->instance;
   snprintf (link->body, sizeof link->body,
             "ROW %s %" PRIu64 " %" PRIu64 ".%" PRIu64 " 0 0 0 0\r\n",
-            instance->leads ? "primary" : "replica",
-            instance->lead_term != 0 ? instance->lead_term
-                                     : instance->received.term,
+            instance->is_primary ? "primary" : "replica",
+            instance->unapplied_term != 0 ? instance->unapplied_term
+                                          : instance->received.term,
             instance->received.term, instance->received.lsn);
   link->answer.body = link->body;
   link->answer.body_bytes = strlen (link->body);
@@ -402,7 +413,7 @@
 static void
 execute (struct instance_link *link)
 {
-  const struct sent *sent = &link->queue[link->head];
+  const struct queued_statement *sent = &link->queue[link->head];
   if (link->dead || is_cut (link))
     {
       link->dead = true;
@@ -411,8 +422,9 @@
     }
   link->answer = (struct answer){ .code = CODE_OK, .has_position = true };
   link->lose_answer = false;
-  if (link->state == TX_OPEN && link->plain && !link->instance->leads)
-    link->lost_lead = true;
+  if (link->state == TX_OPEN && link->read_write
+      && !link->instance->is_primary)
+    link->demoted = true;
   switch (sent->kind)
     {
     case STMT_BEGIN:
@@ -450,7 +462,7 @@
     }
   link->answer.state = link->state;
   link->answer.position = link->instance->applied;
-  later (link, NET_MS, deliver);
+  schedule_step (link, NET_MS, deliver);
 }
 
 static bool
@@ -467,7 +479,7 @@
     return;
   link->running = true;
   bool works = takes_slot (link->queue[link->head].kind);
-  later (
+  schedule_step (
       link,
       NET_MS
           + (works ? (clk_ms)rng_below (&link->fleet->rng, WORK_LIMIT_MS) : 0),
@@ -491,7 +503,7 @@
 {
   struct fleet_instance *instance = link->instance;
   if (link->host == NULL || is_cut (link))
-    return; /* the packet got lost */
+    return; /* the packet is lost */
   if (instance->connections >= instance->max_connections)
     {
       link->dead = true;
@@ -501,10 +513,10 @@
     }
   instance->connections++;
   link->counted = true;
-  struct answer hello = { .code = CODE_OK,
-                          .has_position = true,
-                          .position = instance->applied };
-  link->events->opened (link->arg, &hello);
+  struct answer greeting = { .code = CODE_OK,
+                             .has_position = true,
+                             .position = instance->applied };
+  link->events->opened (link->arg, &greeting);
 }
 
 static struct instance_link *
@@ -525,9 +537,9 @@
   link->instance = &fleet->instances[target->port - 1000];
   if (strcmp (link->instance->id, target->id) != 0
       || strcmp (target->group, FLEET_GROUP) != 0)
-    fleet_break (fleet, "connected to %s under the id %s", link->instance->id,
-                 target->id);
-  later (link, CONNECT_MS, opened);
+    fleet_report_violation (fleet, "connected to %s under the id %s",
+                            link->instance->id, target->id);
+  schedule_step (link, CONNECT_MS, opened);
   return link;
 }
 
@@ -541,11 +553,13 @@
 link_send (struct instance_port *port, struct instance_link *link,
            const struct statement *statement, const struct position *after)
 {
-  struct sent *sent = &link->queue[(link->head + link->count) % QUEUE];
+  struct queued_statement *sent
+      = &link->queue[(link->head + link->count) % QUEUE];
   (void)port;
   if (link->count == QUEUE)
     abort ();
-  *sent = (struct sent){ .kind = statement->kind, .term = statement->term };
+  *sent = (struct queued_statement){ .kind = statement->kind,
+                                     .term = statement->term };
   snprintf (sent->id, sizeof sent->id, "%s",
             statement->id != NULL ? statement->id : "-");
   copy_text (sent->text, statement->text);
@@ -558,12 +572,12 @@
   run_next (link);
 }
 
-/* The instance notices that the host is gone.  */
+/* The instance notices that the host has closed the connection.  */
 static void
-dropped (struct instance_link *link)
+notice_close (struct instance_link *link)
 {
   link->dead = true;
-  uncount (link);
+  free_connection (link);
 }
 
 static void
@@ -572,7 +586,7 @@
   bool cut = is_cut (link);
   (void)port;
   link->host = NULL;
-  later (link, cut ? DROPPED_MS : NET_MS, dropped);
+  schedule_step (link, cut ? DEAD_PEER_TIMEOUT_MS : NET_MS, notice_close);
 }
 
 static const struct instance_port_ops instance_ops
@@ -580,7 +594,7 @@
 
 /* Promotion.  */
 
-struct order
+struct promotion_request
 {
   struct fleet_host *host;
   struct fleet *fleet;
@@ -588,64 +602,65 @@
   uint64_t token;
   promote_done done;
   void *arg;
-  uint64_t life; /* of the host */
+  uint64_t incarnation; /* of the host, when it sent the request */
 };
 
 static void
-take_lead (void *arg)
+complete_promotion (void *arg)
 {
-  struct order *order = arg;
-  struct fleet *fleet = order->fleet;
-  struct fleet_instance *chosen = &fleet->instances[order->instance];
-  struct fleet_instance *old = fleet_leader (fleet);
-  uint64_t term = chosen->received.term;
+  struct promotion_request *request = arg;
+  struct fleet *fleet = request->fleet;
+  struct fleet_instance *candidate = &fleet->instances[request->instance];
+  struct fleet_instance *old = fleet_primary (fleet);
+  uint64_t term = candidate->received.term;
   for (size_t i = 0; i < FLEET_INSTANCES; i++)
     if (fleet->instances[i].received.term > term)
       term = fleet->instances[i].received.term;
-  if (old != chosen && !chosen->dark)
+  if (old != candidate && !candidate->unreachable)
     {
       if (old != NULL)
-        lose_lead (old);
-      oracle_rolled_back (fleet, chosen->received, term + 1);
-      struct position taken = { term + 1, chosen->received.lsn };
-      chosen->leads = true;
-      chosen->lead_term = term + 1;
-      /* It goes on to apply what it had received, as slowly as before.  */
-      if (position_compare (chosen->applied, chosen->received) < 0)
-        fleet_later (fleet, chosen->lag_ms, applied_all, chosen);
+        demote (old);
+      oracle_rolled_back (fleet, candidate->received, term + 1);
+      struct position start = { term + 1, candidate->received.lsn };
+      candidate->is_primary = true;
+      candidate->unapplied_term = term + 1;
+      /* It still has to apply what it had received, with its usual lag.  */
+      if (position_compare (candidate->applied, candidate->received) < 0)
+        fleet_schedule (fleet, candidate->lag_ms, replay_done, candidate);
       else
-        apply_all (chosen);
+        apply_received (candidate);
       for (size_t i = 0; i < FLEET_INSTANCES; i++)
-        if (&fleet->instances[i] != chosen)
+        if (&fleet->instances[i] != candidate)
           {
-            fleet->instances[i].applied = taken;
-            fleet->instances[i].received = taken;
+            fleet->instances[i].applied = start;
+            fleet->instances[i].received = start;
           }
       fleet->promotions++;
       fleet_publish (fleet);
     }
-  free (order);
+  free (request);
 }
 
 static void
-order_arrived (void *arg)
+promotion_arrived (void *arg)
 {
-  struct order *order = arg;
-  struct fleet *fleet = order->fleet;
-  bool fenced = order->token < fleet->token;
-  bool alive = order->host->running && order->host->life == order->life;
+  struct promotion_request *request = arg;
+  struct fleet *fleet = request->fleet;
+  bool fenced = request->token < fleet->token;
+  bool alive = request->host->running
+               && request->host->incarnation == request->incarnation;
   if (!fenced)
-    fleet->token = order->token;
-  if (fenced || fleet->instances[order->instance].dark)
+    fleet->token = request->token;
+  if (fenced || fleet->instances[request->instance].unreachable)
     {
       if (alive)
-        order->done (order->arg, PROMOTE_REFUSED);
-      free (order);
+        request->done (request->arg, PROMOTE_REFUSED);
+      free (request);
       return;
     }
   if (alive)
-    order->done (order->arg, PROMOTE_ACCEPTED);
-  fleet_later (fleet, FLEET_PROMOTE_MS, take_lead, order);
+    request->done (request->arg, PROMOTE_ACCEPTED);
+  fleet_schedule (fleet, FLEET_PROMOTE_MS, complete_promotion, request);
 }
 
 static void
@@ -655,17 +670,18 @@
   struct fleet_host *host
       = (struct fleet_host *)(void *)((char *)port
                                       - offsetof (struct fleet_host, promote));
-  struct order *order = mem_zalloc (sizeof *order);
+  struct promotion_request *request = mem_zalloc (sizeof *request);
   (void)group;
   (void)holder;
-  *order = (struct order){ .host = host,
-                           .fleet = host->fleet,
-                           .instance = (size_t)(instance[2] - '0'),
-                           .token = token,
-                           .done = done,
-                           .arg = arg,
-                           .life = host->life };
-  fleet_later (host->fleet, 5, order_arrived, order);
+  *request
+      = (struct promotion_request){ .host = host,
+                                    .fleet = host->fleet,
+                                    .instance = (size_t)(instance[2] - '0'),
+                                    .token = token,
+                                    .done = done,
+                                    .arg = arg,
+                                    .incarnation = host->incarnation };
+  fleet_schedule (host->fleet, 5, promotion_arrived, request);
 }
 
 static const struct promote_port_ops promote_ops = { .promote = promote };
--- a/tests/fleet/fleet_oracle.c
+++ b/tests/fleet/fleet_oracle.c
@@ -9,17 +9,21 @@
 #include "proxy/values.h"
 #include "tests/fleet/fleet.h"
 
+/* Checks the guarantees: what instances execute against what callers sent, and
+   the answers against what was committed.  */
+
 #define TEXT_BYTES 256
 #define VALUES_BYTES 512
+/* Most writes of a transaction that are recorded.  */
 #define TX_STATEMENTS 64
 
-/* One statement, from the caller's sending to its answer.  */
-struct asked
+/* A statement that a caller sent.  */
+struct statement_record
 {
   char id[NAME_BYTES];
-  struct fleet_caller *caller; /* NULL once the caller has gone */
-  char text[TEXT_BYTES];       /* as an instance must run it */
-  char values[VALUES_BYTES];   /* acknowledged when it was sent */
+  struct fleet_caller *caller; /* NULL once the caller is closed */
+  char text[TEXT_BYTES];       /* that an instance must execute */
+  char values[VALUES_BYTES];   /* set and acknowledged before it was sent */
   bool in_tx;
   bool writes;
   uint64_t tx_id;  /* the caller's transaction */
@@ -29,20 +33,20 @@
   UT_hash_handle hh;
 };
 
-/* Where a caller's transaction runs.  */
-struct tx_place
+/* Connection and instance transaction that execute a caller's transaction.  */
+struct tx_location
 {
-  uint64_t tx_id;
+  uint64_t tx_id; /* of the caller */
   uint64_t link;
-  uint64_t tx;
+  uint64_t tx; /* of the instance */
   UT_hash_handle hh;
 };
 
-/* Whose transaction is open on a link.  */
+/* Caller's transaction that an instance transaction executes.  */
 struct link_tx
 {
-  uint64_t tx;
-  uint64_t tx_id;
+  uint64_t tx;    /* of the instance */
+  uint64_t tx_id; /* of the caller */
   char writes[TX_STATEMENTS][NAME_BYTES];
   size_t write_count;
   UT_hash_handle hh;
@@ -57,6 +61,7 @@
   bool rolled_back;
 };
 
+/* A commit on an instance, by the id of the statement that caused it.  */
 struct pending_commit
 {
   char id[NAME_BYTES];
@@ -75,7 +80,7 @@
 struct fleet_caller
 {
   struct fleet_host *host;
-  uint64_t life; /* of the host when the session began */
+  uint64_t incarnation; /* of the host, when the session was opened */
   struct caller *caller;
   uint64_t session;
   char database[NAME_BYTES];
@@ -103,121 +108,130 @@
 struct fleet_oracle
 {
   struct fleet *fleet;
-  struct asked *asked;
-  struct tx_place *places;
+  struct statement_record *records;
+  struct tx_location *locations;
   struct link_tx *links;
   struct pending_commit *commits;
   size_t ack_count;
-  struct acknowledged acks[FLEET_LOG];
+  struct acknowledged acks[FLEET_MAX_ACKS];
   uint64_t next_session;
   uint64_t next_tx_id;
   struct fleet_caller *callers;
 };
 
-static struct asked *
-find_asked (struct fleet_oracle *oracle, const char *id)
+static struct statement_record *
+find_record (struct fleet_oracle *oracle, const char *id)
 {
-  struct asked *asked;
-  HASH_FIND_STR (oracle->asked, id, asked);
-  return asked;
+  struct statement_record *record;
+  HASH_FIND_STR (oracle->records, id, record);
+  return record;
 }
 
-/* Commits acknowledged before SINCE_MS that a read on POSITION lacks.  */
+/* Checks that POSITION, on which a read ran, contains every acknowledged
+   commit that the read must see.  */
 static void
-check_fresh (struct fleet *fleet, const struct asked *asked,
+check_fresh (struct fleet *fleet, const struct statement_record *record,
              struct position position)
 {
   const struct fleet_oracle *oracle = fleet->oracle;
-  const struct fleet_caller *caller = asked->caller;
+  const struct fleet_caller *caller = record->caller;
   bool bounded = strcmp (caller->database, FLEET_DATABASE_PRIMARY) != 0;
   bool session = strcmp (caller->database, FLEET_DATABASE_SESSION) == 0;
-  clk_ms limit_ms = asked->since_ms - (bounded ? FLEET_STALENESS_MS : 0);
+  clk_ms limit_ms = record->since_ms - (bounded ? FLEET_STALENESS_MS : 0);
   for (size_t i = 0; i < oracle->ack_count; i++)
     {
       const struct acknowledged *ack = &oracle->acks[i];
-      bool must = ack->at_ms < limit_ms
-                  || (session && ack->session == caller->session
-                      && ack->at_ms < asked->since_ms);
-      if (must && !ack->rolled_back && position.lsn < ack->position.lsn)
-        fleet_break (fleet, "STALE: %s ran on %llu.%llu without %llu.%llu",
-                     asked->id, (unsigned long long)position.term,
-                     (unsigned long long)position.lsn,
-                     (unsigned long long)ack->position.term,
-                     (unsigned long long)ack->position.lsn);
+      bool required = ack->at_ms < limit_ms
+                      || (session && ack->session == caller->session
+                          && ack->at_ms < record->since_ms);
+      if (required && !ack->rolled_back && position.lsn < ack->position.lsn)
+        fleet_report_violation (fleet,
+                                "STALE: %s ran on %llu.%llu without %llu.%llu",
+                                record->id, (unsigned long long)position.term,
+                                (unsigned long long)position.lsn,
+                                (unsigned long long)ack->position.term,
+                                (unsigned long long)ack->position.lsn);
     }
 }
 
-/* The transaction of the instance must be that of one caller only.  */
+/* Checks that a caller's transaction runs in exactly one transaction of an
+   instance, and that no other statement runs in it.  */
 static void
-check_place (struct fleet *fleet, const struct asked *asked,
-             const struct fleet_run_note *note)
+check_location (struct fleet *fleet, const struct statement_record *record,
+                const struct fleet_execution *execution)
 {
   struct fleet_oracle *oracle = fleet->oracle;
-  struct tx_place *place;
+  struct tx_location *location;
   struct link_tx *link;
-  HASH_FIND (hh, oracle->links, &note->tx, sizeof note->tx, link);
-  if (!asked->in_tx)
+  HASH_FIND (hh, oracle->links, &execution->tx, sizeof execution->tx, link);
+  if (!record->in_tx)
     {
       if (link != NULL)
-        fleet_break (fleet, "PINNED: %s ran inside another transaction",
-                     note->id);
+        fleet_report_violation (
+            fleet, "PINNED: %s ran inside another transaction", execution->id);
       return;
     }
-  if (note->tx == 0)
+  if (execution->tx == 0)
     {
-      fleet_break (fleet, "PINNED: %s ran outside its transaction", note->id);
+      fleet_report_violation (fleet, "PINNED: %s ran outside its transaction",
+                              execution->id);
       return;
     }
-  HASH_FIND (hh, oracle->places, &asked->tx_id, sizeof asked->tx_id, place);
-  if (place == NULL)
+  HASH_FIND (hh, oracle->locations, &record->tx_id, sizeof record->tx_id,
+             location);
+  if (location == NULL)
     {
-      place = mem_zalloc (sizeof *place);
-      place->tx_id = asked->tx_id;
-      place->link = note->link;
-      place->tx = note->tx;
-      HASH_ADD (hh, oracle->places, tx_id, sizeof place->tx_id, place);
+      location = mem_zalloc (sizeof *location);
+      location->tx_id = record->tx_id;
+      location->link = execution->link;
+      location->tx = execution->tx;
+      HASH_ADD (hh, oracle->locations, tx_id, sizeof location->tx_id,
+                location);
     }
-  if (place->tx != note->tx || place->link != note->link)
-    fleet_break (fleet, "PINNED: %s ran on another connection", note->id);
+  if (location->tx != execution->tx || location->link != execution->link)
+    fleet_report_violation (fleet, "PINNED: %s ran on another connection",
+                            execution->id);
   if (link == NULL)
     {
       link = mem_zalloc (sizeof *link);
-      link->tx = note->tx;
-      link->tx_id = asked->tx_id;
+      link->tx = execution->tx;
+      link->tx_id = record->tx_id;
       HASH_ADD (hh, oracle->links, tx, sizeof link->tx, link);
     }
-  if (link->tx_id != asked->tx_id)
-    fleet_break (fleet, "PINNED: %s shares a transaction", note->id);
-  if (asked->writes && link->write_count < TX_STATEMENTS)
-    memcpy (link->writes[link->write_count++], asked->id, NAME_BYTES);
+  if (link->tx_id != record->tx_id)
+    fleet_report_violation (fleet, "PINNED: %s shares a transaction",
+                            execution->id);
+  if (record->writes && link->write_count < TX_STATEMENTS)
+    memcpy (link->writes[link->write_count++], record->id, NAME_BYTES);
 }
 
 void
-oracle_ran (struct fleet *fleet, const struct fleet_run_note *note,
-            bool writes)
+oracle_executed (struct fleet *fleet, const struct fleet_execution *execution,
+                 bool writes)
 {
-  struct asked *asked = find_asked (fleet->oracle, note->id);
-  if (asked == NULL)
+  struct statement_record *record = find_record (fleet->oracle, execution->id);
+  if (record == NULL)
     {
-      fleet_break (fleet, "UNASKED: %s ran", note->id);
+      fleet_report_violation (fleet, "UNASKED: %s ran", execution->id);
       return;
     }
-  asked->runs++;
-  if (strcmp (asked->text, note->text) != 0)
-    fleet_break (fleet, "UNASKED: %s ran as \"%s\", not \"%s\"", note->id,
-                 note->text, asked->text);
-  if (strcmp (asked->values, note->values) != 0)
-    fleet_break (fleet, "PINNED: %s ran with values %s, not %s", note->id,
-                 note->values, asked->values);
-  if (writes != asked->writes)
-    fleet_break (fleet, "UNASKED: %s ran as another kind", note->id);
-  check_place (fleet, asked, note);
-  if (!writes && asked->caller != NULL)
-    check_fresh (fleet, asked, note->position);
+  record->runs++;
+  if (strcmp (record->text, execution->text) != 0)
+    fleet_report_violation (fleet, "UNASKED: %s ran as \"%s\", not \"%s\"",
+                            execution->id, execution->text, record->text);
+  if (strcmp (record->values, execution->values) != 0)
+    fleet_report_violation (fleet, "PINNED: %s ran with values %s, not %s",
+                            execution->id, execution->values, record->values);
+  if (writes != record->writes)
+    fleet_report_violation (fleet, "UNASKED: %s ran as another kind",
+                            execution->id);
+  check_location (fleet, record, execution);
+  if (!writes && record->caller != NULL)
+    check_fresh (fleet, record, execution->position);
 }
 
 static void
-note_commit (struct fleet *fleet, const char *id, struct position position)
+record_commit (struct fleet *fleet, const char *id, struct position position)
 {
   struct fleet_oracle *oracle = fleet->oracle;
   struct pending_commit *commit = mem_zalloc (sizeof *commit);
@@ -227,19 +241,19 @@
 }
 
 static void
-take_effect (struct fleet *fleet, const char *id)
+count_commit (struct fleet *fleet, const char *id)
 {
-  struct asked *asked = find_asked (fleet->oracle, id);
-  if (asked != NULL && ++asked->commits > 1)
-    fleet_break (fleet, "TWICE: %s took effect twice", id);
+  struct statement_record *record = find_record (fleet->oracle, id);
+  if (record != NULL && ++record->commits > 1)
+    fleet_report_violation (fleet, "TWICE: %s took effect twice", id);
 }
 
 void
 oracle_single_write (struct fleet *fleet, const char *id,
                      struct position position)
 {
-  take_effect (fleet, id);
-  note_commit (fleet, id, position);
+  count_commit (fleet, id);
+  record_commit (fleet, id, position);
 }
 
 void
@@ -247,19 +261,19 @@
                   const char *commit_id, struct position position)
 {
   struct fleet_oracle *oracle = fleet->oracle;
-  struct asked *asked = find_asked (oracle, commit_id);
+  struct statement_record *record = find_record (oracle, commit_id);
   struct link_tx *link;
   (void)link_serial;
   HASH_FIND (hh, oracle->links, &tx, sizeof tx, link);
-  if (asked == NULL || link == NULL || asked->tx_id != link->tx_id)
+  if (record == NULL || link == NULL || record->tx_id != link->tx_id)
     {
-      fleet_break (fleet, "UNASKED: a transaction was committed");
+      fleet_report_violation (fleet, "UNASKED: a transaction was committed");
       return;
     }
   for (size_t i = 0; i < link->write_count; i++)
-    take_effect (fleet, link->writes[i]);
-  asked->commits++;
-  note_commit (fleet, commit_id, position);
+    count_commit (fleet, link->writes[i]);
+  record->commits++;
+  record_commit (fleet, commit_id, position);
 }
 
 void
@@ -277,8 +291,10 @@
     commit->rolled_back = true;
 }
 
+/* Returns whether an answer with CODE guarantees that the statement was not
+   committed.  */
 static bool
-is_promise (enum code code)
+excludes_effect (enum code code)
 {
   return code == CODE_BUSY || code == CODE_ABORTED || code == CODE_LAGGING
          || code == CODE_READONLY || code == CODE_MISROUTED
@@ -286,31 +302,31 @@
 }
 
 static void
-check_promise (struct fleet *fleet, const char *id)
+check_not_committed (struct fleet *fleet, const char *id)
 {
-  const struct asked *asked = find_asked (fleet->oracle, id);
-  if (asked != NULL && asked->commits > 0)
-    fleet_break (fleet, "REFUSED: %s was committed", id);
+  const struct statement_record *record = find_record (fleet->oracle, id);
+  if (record != NULL && record->commits > 0)
+    fleet_report_violation (fleet, "REFUSED: %s was committed", id);
 }
 
-/* Checks a promise: neither the statement nor an earlier write of its
-   transaction is kept.  */
+/* Checks after a refusal that neither the statement nor an earlier write of
+   its transaction was committed.  */
 static void
-check_promises (struct fleet_caller *caller)
+check_no_effect (struct fleet_caller *caller)
 {
   struct fleet *fleet = caller->host->fleet;
-  check_promise (fleet, caller->id);
+  check_not_committed (fleet, caller->id);
   for (size_t i = 0; i < caller->tx_write_count; i++)
-    check_promise (fleet, caller->tx_writes[i]);
+    check_not_committed (fleet, caller->tx_writes[i]);
 }
 
 static void
-note_acknowledged (struct fleet_caller *caller)
+record_acknowledged (struct fleet_caller *caller)
 {
   struct fleet_oracle *oracle = caller->host->fleet->oracle;
   struct pending_commit *commit;
   HASH_FIND_STR (oracle->commits, caller->id, commit);
-  if (commit == NULL || oracle->ack_count == FLEET_LOG)
+  if (commit == NULL || oracle->ack_count == FLEET_MAX_ACKS)
     return;
   oracle->acks[oracle->ack_count++] = (struct acknowledged){
     .position = commit->position,
@@ -337,8 +353,8 @@
 }
 
 static void
-remember_prepared (struct fleet_caller *caller, const char *name,
-                   const char *shape, bool writes)
+record_prepared (struct fleet_caller *caller, const char *name,
+                 const char *shape, bool writes)
 {
   struct prepared_text *row
       = (struct prepared_text *)find_prepared (caller, name);
@@ -350,31 +366,32 @@
 }
 
 static void
-take_success (struct fleet_caller *caller, const struct answer *answer)
+handle_success (struct fleet_caller *caller, const struct answer *answer)
 {
   struct fleet *fleet = caller->host->fleet;
   char expected[3 * NAME_BYTES];
   if (caller->kind == STMT_SET)
     values_set (&caller->values, caller->name, caller->rest);
   if (caller->kind == STMT_PREPARE_READ || caller->kind == STMT_PREPARE_WRITE)
-    remember_prepared (caller, caller->name, caller->rest,
-                       caller->kind == STMT_PREPARE_WRITE);
+    record_prepared (caller, caller->name, caller->rest,
+                     caller->kind == STMT_PREPARE_WRITE);
   if (!runs_on_instance (caller->kind))
     return;
   const char *signature
       = answer->body != NULL ? strstr (answer->body, "COMPLETE ") : NULL;
   if (signature == NULL)
     {
-      fleet_break (fleet, "MIXED: %s succeeded without a signature",
-                   caller->id);
+      fleet_report_violation (fleet, "MIXED: %s succeeded without a signature",
+                              caller->id);
       return;
     }
   snprintf (caller->server, NAME_BYTES, "%.3s", signature + 9);
   snprintf (expected, sizeof expected, "%s.%s\r\n", caller->server,
             caller->id);
   if (strcmp (signature + 9, expected) != 0)
-    fleet_break (fleet, "MIXED: %s has the answer %s", caller->id, signature);
-  note_acknowledged (caller);
+    fleet_report_violation (fleet, "MIXED: %s has the answer %s", caller->id,
+                            signature);
+  record_acknowledged (caller);
 }
 
 static void
@@ -383,17 +400,18 @@
   struct fleet_caller *caller = arg;
   struct fleet *fleet = caller->host->fleet;
   if (!caller->waits)
-    fleet_break (fleet, "an answer to nothing, after %s", caller->id);
+    fleet_report_violation (fleet, "unexpected answer after %s", caller->id);
   caller->waits = false;
   caller->code = answer->code;
   caller->state = answer->state;
   caller->took_ms = fleet_now (fleet) - caller->sent_ms;
   if (answer->code == CODE_OK)
-    take_success (caller, answer);
-  else if (is_promise (answer->code))
-    check_promises (caller);
+    handle_success (caller, answer);
+  else if (excludes_effect (answer->code))
+    check_no_effect (caller);
   if (answer->code == CODE_LOST)
-    fleet_break (fleet, "%s got an internal code", caller->id);
+    fleet_report_violation (fleet, "%s was answered with an internal code",
+                            caller->id);
 }
 
 struct fleet_caller *
@@ -403,7 +421,7 @@
   struct fleet_caller *caller = mem_zalloc (sizeof *caller);
   struct caller_sink sink = { .answer = on_answer, .arg = caller };
   caller->host = host;
-  caller->life = host->life;
+  caller->incarnation = host->incarnation;
   caller->session = ++oracle->next_session;
   snprintf (caller->database, NAME_BYTES, "%s", database);
   caller->caller = caller_open (host->callers, database, &sink);
@@ -415,44 +433,46 @@
 fleet_caller_close (struct fleet_caller *caller)
 {
   struct fleet_oracle *oracle = caller->host->fleet->oracle;
-  struct asked *asked, *next;
-  /* A host that was killed has closed the session itself.  */
-  if (caller->host->running && caller->host->life == caller->life)
+  struct statement_record *record, *next;
+  /* The session of a killed host is already closed.  */
+  if (caller->host->running
+      && caller->host->incarnation == caller->incarnation)
     caller_close (caller->caller);
-  HASH_ITER (hh, oracle->asked, asked, next)
-  if (asked->caller == caller)
-    asked->caller = NULL;
+  HASH_ITER (hh, oracle->records, record, next)
+  if (record->caller == caller)
+    record->caller = NULL;
   DL_DELETE (oracle->callers, caller);
   values_clear (&caller->values);
   free (caller);
 }
 
-static struct asked *
-note_asked (struct fleet_caller *caller, enum stmt_kind kind, const char *text,
+static struct statement_record *
+add_record (struct fleet_caller *caller, enum stmt_kind kind, const char *text,
             const char *name, const char *rest)
 {
   struct fleet *fleet = caller->host->fleet;
   const struct prepared_text *prepared
       = kind == STMT_EXECUTE ? find_prepared (caller, name) : NULL;
-  struct asked *asked = mem_zalloc (sizeof *asked);
+  struct statement_record *record = mem_zalloc (sizeof *record);
   size_t used = 0;
-  memcpy (asked->id, caller->id, NAME_BYTES);
-  asked->caller = caller;
+  memcpy (record->id, caller->id, NAME_BYTES);
+  record->caller = caller;
   if (prepared != NULL)
-    snprintf (asked->text, TEXT_BYTES, "%.120s(%.120s)", prepared->shape,
+    snprintf (record->text, TEXT_BYTES, "%.120s(%.120s)", prepared->shape,
               rest);
   else
-    snprintf (asked->text, TEXT_BYTES, "%s", text);
+    snprintf (record->text, TEXT_BYTES, "%s", text);
   for (size_t i = 0; i < caller->values.count; i++)
-    used += (size_t)snprintf (asked->values + used, VALUES_BYTES - used,
+    used += (size_t)snprintf (record->values + used, VALUES_BYTES - used,
                               "%s=%s;", caller->values.items[i].name,
                               caller->values.items[i].text);
-  asked->writes = kind == STMT_WRITE || (prepared != NULL && prepared->writes);
-  asked->in_tx = caller->state != TX_IDLE;
-  asked->tx_id = caller->tx_id;
-  asked->since_ms = asked->in_tx ? caller->tx_since_ms : fleet_now (fleet);
-  HASH_ADD_STR (fleet->oracle->asked, id, asked);
-  return asked;
+  record->writes
+      = kind == STMT_WRITE || (prepared != NULL && prepared->writes);
+  record->in_tx = caller->state != TX_IDLE;
+  record->tx_id = caller->tx_id;
+  record->since_ms = record->in_tx ? caller->tx_since_ms : fleet_now (fleet);
+  HASH_ADD_STR (fleet->oracle->records, id, record);
+  return record;
 }
 
 void
@@ -485,8 +505,9 @@
     caller->tx_write_count = 0;
   if (runs_on_instance (kind))
     {
-      struct asked *asked = note_asked (caller, kind, text, name, rest);
-      if (asked->writes && asked->in_tx
+      struct statement_record *record
+          = add_record (caller, kind, text, name, rest);
+      if (record->writes && record->in_tx
           && caller->tx_write_count < TX_STATEMENTS)
         memcpy (caller->tx_writes[caller->tx_write_count++], caller->id,
                 NAME_BYTES);
@@ -537,21 +558,21 @@
 void
 fleet_oracle_free (struct fleet_oracle *oracle)
 {
-  struct asked *asked, *next_asked;
-  struct tx_place *place, *next_place;
+  struct statement_record *record, *next_record;
+  struct tx_location *location, *next_location;
   struct link_tx *link, *next_link;
   struct pending_commit *commit, *next_commit;
   while (oracle->callers != NULL)
     fleet_caller_close (oracle->callers);
-  HASH_ITER (hh, oracle->asked, asked, next_asked)
+  HASH_ITER (hh, oracle->records, record, next_record)
   {
-    HASH_DEL (oracle->asked, asked);
-    free (asked);
+    HASH_DEL (oracle->records, record);
+    free (record);
   }
-  HASH_ITER (hh, oracle->places, place, next_place)
+  HASH_ITER (hh, oracle->locations, location, next_location)
   {
-    HASH_DEL (oracle->places, place);
-    free (place);
+    HASH_DEL (oracle->locations, location);
+    free (location);
   }
   HASH_ITER (hh, oracle->links, link, next_link)
   {
--- a/tests/fleet/fleet_peers.c
+++ b/tests/fleet/fleet_peers.c
@@ -1,4 +1,4 @@
-/* Messages between the hosts of a fleet, encoded as on the wire.  */
+/* Model of the network between hosts; messages are encoded as on the wire.  */
 
 #include <rpc/rpc.h>
 #include <stdlib.h>
@@ -13,12 +13,12 @@
 #define NET_MS 1
 #define MESSAGE_LIMIT_BYTES ((size_t)1024 * 1024)
 
-/* A call, from its sending to its answer or time limit.  */
+/* A call.  Freed when no step of it is scheduled.  */
 struct fleet_call
 {
   uint64_t id;
   struct fleet *fleet;
-  struct fleet_host *from; /* NULL: it has ended or given up */
+  struct fleet_host *from; /* NULL: completed, cancelled, or host stopped */
   struct fleet_host *to;
   peer_done done;
   void *arg;
@@ -36,30 +36,31 @@
                                        - offsetof (struct fleet_host, peers));
 }
 
+/* Ends the call for its sender, whose callback is no longer called.  */
 static void
-let_go (struct fleet_call *call)
+detach (struct fleet_call *call)
 {
   if (call->from != NULL)
     DL_DELETE (call->from->calls, call);
   call->from = NULL;
 }
 
-/* Ends a scheduled step of CALL.  */
+/* Ends a scheduled step of CALL; frees CALL after the last one.  */
 static void
 step_done (struct fleet_call *call)
 {
   if (--call->steps > 0)
     return;
-  let_go (call);
+  detach (call);
   free (call->body.data);
   free (call);
 }
 
 static void
-later (struct fleet_call *call, clk_ms span_ms, void (*fn) (void *))
+schedule_step (struct fleet_call *call, clk_ms span_ms, void (*fn) (void *))
 {
   call->steps++;
-  fleet_later (call->fleet, span_ms, fn, call);
+  fleet_schedule (call->fleet, span_ms, fn, call);
 }
 
 static void
@@ -68,7 +69,7 @@
 {
   if (call->from == NULL)
     return;
-  let_go (call);
+  detach (call);
   call->done (call->arg, status, reply);
 }
 
@@ -87,7 +88,7 @@
 }
 
 static void
-arrive (void *arg)
+deliver_call (void *arg)
 {
   struct fleet_call *call = arg;
   struct fleet_host *to = call->to;
@@ -124,14 +125,14 @@
       call->to = &fleet->hosts[i];
   if (call->to == NULL
       || !rpc_body_encode (&call->body, message, MESSAGE_LIMIT_BYTES))
-    abort (); /* hosts are never renamed, and messages small */
+    abort (); /* hosts keep their names, and messages are small */
   DL_APPEND (from->calls, call);
-  later (call, NET_MS, arrive);
-  later (call, timeout_ms, time_out);
+  schedule_step (call, NET_MS, deliver_call);
+  schedule_step (call, timeout_ms, time_out);
   return call->id;
 }
 
-/* A reply on its way back.  */
+/* A reply in flight.  */
 struct reply
 {
   struct fleet_call *call;
@@ -139,7 +140,7 @@
 };
 
 static void
-reply_arrives (void *arg)
+deliver_reply (void *arg)
 {
   struct reply *reply = arg;
   struct fleet_call *call = reply->call;
@@ -168,15 +169,15 @@
   struct fleet_call *call = (struct fleet_call *)(uintptr_t)id;
   if (!host_of (port)->running)
     {
-      /* The host is being killed: nothing leaves it any more.  */
-      fleet_later (call->fleet, NET_MS, connection_lost, call);
+      /* A host that is being stopped sends no reply.  */
+      fleet_schedule (call->fleet, NET_MS, connection_lost, call);
       return;
     }
   struct reply *reply = mem_zalloc (sizeof *reply);
   reply->call = call;
   if (!rpc_body_encode (&reply->body, message, MESSAGE_LIMIT_BYTES))
     abort ();
-  fleet_later (call->fleet, NET_MS, reply_arrives, reply);
+  fleet_schedule (call->fleet, NET_MS, deliver_reply, reply);
 }
 
 static void
@@ -187,7 +188,7 @@
   DL_FOREACH_SAFE (host->calls, call, next)
   {
     if (call->id == id)
-      let_go (call);
+      detach (call);
   }
 }
 
@@ -212,8 +213,8 @@
 }
 
 void
-fleet_peer_forget (struct fleet_host *host)
+fleet_peer_abandon_calls (struct fleet_host *host)
 {
   while (host->calls != NULL)
-    let_go (host->calls);
+    detach (host->calls);
 }
--- a/tests/fleet/fleet_store.c
+++ b/tests/fleet/fleet_store.c
@@ -9,11 +9,17 @@
 
 #include "kernel/mem.h"
 
+/* Model of the platform's store.  */
+
+/* Delay from a call to its execution.  */
 #define CALL_MS 4
 #define KEY_BYTES 200
 #define VALUE_BYTES 160
+/* Events kept for watches; also the most keys of a list.  */
 #define HISTORY 4096
-#define KEEPALIVE_MS 3000 /* until a cut connection is noticed */
+/* Interval of checks of a watch; a broken connection is detected after at most
+   this time.  */
+#define KEEPALIVE_MS 3000
 #define LEASE_BYTES 24
 
 struct store_key
@@ -45,7 +51,7 @@
 
 struct store_call
 {
-  struct fleet_host *host; /* NULL once the host or the call is gone */
+  struct fleet_host *host; /* NULL once the host has stopped */
   struct fleet_store *store;
   uint64_t id;
   struct platform_call call;
@@ -55,8 +61,8 @@
   struct platform_write write;
   platform_done done;
   void *arg;
-  bool waiting; /* a watch */
-  bool lost; /* a watch that the store forgot, on a connection that stands */
+  bool waiting; /* a pending watch */
+  bool lost;    /* a dropped watch, whose connection stays open */
   clk_ms until_ms;
   struct store_call *prev;
   struct store_call *next;
@@ -67,7 +73,7 @@
   struct fleet *fleet;
   bool down;
   uint64_t revision;
-  uint64_t forgotten; /* history up to here */
+  uint64_t compacted_revision; /* older history is removed */
   uint64_t next_call;
   uint64_t next_lease;
   uint64_t calls;
@@ -76,7 +82,7 @@
   struct store_lease *leases;
   size_t event_count;
   struct store_event events[HISTORY];
-  struct store_call *list;
+  struct store_call *calls_in_flight;
 };
 
 static void answer_watches (struct fleet_store *store);
@@ -104,7 +110,7 @@
 }
 
 static void
-end_lease (struct fleet_store *store, struct store_lease *lease)
+revoke_lease (struct fleet_store *store, struct store_lease *lease)
 {
   struct store_key *key, *next;
   HASH_ITER (hh, store->keys, key, next)
@@ -115,13 +121,13 @@
 }
 
 static void
-check_leases (void *arg)
+expire_leases (void *arg)
 {
   struct fleet_store *store = arg;
   struct store_lease *lease, *next;
   HASH_ITER (hh, store->leases, lease, next)
   if (lease->until_ms <= fleet_now (store->fleet) && !store->down)
-    end_lease (store, lease);
+    revoke_lease (store, lease);
   answer_watches (store);
 }
 
@@ -135,10 +141,10 @@
 }
 
 static void
-extend (struct fleet_store *store, struct store_lease *lease)
+renew_lease (struct fleet_store *store, struct store_lease *lease)
 {
   lease->until_ms = fleet_now (store->fleet) + lease->ttl_ms;
-  fleet_later (store->fleet, lease->ttl_ms + 1, check_leases, store);
+  fleet_schedule (store->fleet, lease->ttl_ms + 1, expire_leases, store);
 }
 
 static void
@@ -146,10 +152,10 @@
 {
   platform_done done = call->done;
   void *arg = call->arg;
-  bool wanted = call->host != NULL;
-  DL_DELETE (call->store->list, call);
+  bool host_waiting = call->host != NULL;
+  DL_DELETE (call->store->calls_in_flight, call);
   free (call);
-  if (wanted)
+  if (host_waiting)
     done (arg, reply);
 }
 
@@ -235,7 +241,8 @@
                                           .item_count = 1 });
 }
 
-/* Answers a watch that has something to tell, or whose time is up.  */
+/* Answers a watch if it has events, its time limit has passed or its revision
+   has been compacted.  Returns whether it was answered.  */
 static bool
 answer_watch (struct store_call *call)
 {
@@ -243,7 +250,7 @@
   struct platform_item items[HISTORY];
   struct platform_reply reply
       = { .status = PLATFORM_OK, .index = store->revision, .items = items };
-  if (call->call.wait_index < store->forgotten)
+  if (call->call.wait_index < store->compacted_revision)
     {
       finish_status (call, PLATFORM_COMPACTED);
       return true;
@@ -279,16 +286,16 @@
 static void
 answer_watches (struct fleet_store *store)
 {
-  bool again = true;
-  while (again)
+  bool answered = true;
+  while (answered)
     {
       struct store_call *call, *next;
-      again = false;
-      DL_FOREACH_SAFE (store->list, call, next)
+      answered = false;
+      DL_FOREACH_SAFE (store->calls_in_flight, call, next)
       if (call->waiting && is_served (call) && answer_watch (call))
         {
-          again = true;
-          break; /* its callback may have changed the list */
+          answered = true;
+          break; /* the callback may have changed the list */
         }
     }
 }
@@ -297,13 +304,14 @@
 find_call (struct fleet_store *store, uint64_t id)
 {
   struct store_call *call;
-  DL_FOREACH (store->list, call)
+  DL_FOREACH (store->calls_in_flight, call)
   if (call->id == id)
     return call;
   return NULL;
 }
 
-struct late
+/* Refers to a call by id, since the call may end before the timer.  */
+struct call_ref
 {
   struct fleet_store *store;
   uint64_t id;
@@ -312,8 +320,8 @@
 static void
 call_expired (void *arg)
 {
-  struct late *late = arg;
-  struct store_call *call = find_call (late->store, late->id);
+  struct call_ref *ref = arg;
+  struct store_call *call = find_call (ref->store, ref->id);
   bool writes = call != NULL
                 && (call->call.kind == PLATFORM_WRITE
                     || call->call.kind == PLATFORM_LEASE
@@ -322,35 +330,35 @@
     answer_watch (call);
   else if (call != NULL)
     finish_status (call, writes ? PLATFORM_LOST : PLATFORM_UNAVAILABLE);
-  free (late);
+  free (ref);
 }
 
 static void
 schedule (struct store_call *call, clk_ms span_ms, void (*fn) (void *))
 {
-  struct late *late = mem_zalloc (sizeof *late);
-  *late = (struct late){ call->store, call->id };
-  fleet_later (call->store->fleet, span_ms, fn, late);
+  struct call_ref *ref = mem_zalloc (sizeof *ref);
+  *ref = (struct call_ref){ call->store, call->id };
+  fleet_schedule (call->store->fleet, span_ms, fn, ref);
 }
 
-/* The connection of a watch that is cut fails; what the store had to tell is
-   told when it is not.  */
+/* Checks a pending watch periodically: fails it if the store is unreachable,
+   else delivers events that occurred while it was.  */
 static void
 keep_alive (void *arg)
 {
-  struct late *late = arg;
-  struct store_call *call = find_call (late->store, late->id);
-  bool over = call == NULL || call->lost
-              || (is_served (call) && call->waiting && answer_watch (call));
-  if (over)
-    free (late);
+  struct call_ref *ref = arg;
+  struct store_call *call = find_call (ref->store, ref->id);
+  bool ended = call == NULL || call->lost
+               || (is_served (call) && call->waiting && answer_watch (call));
+  if (ended)
+    free (ref);
   else if (!is_served (call))
     {
-      free (late);
+      free (ref);
       finish_status (call, PLATFORM_UNAVAILABLE);
     }
   else
-    fleet_later (late->store->fleet, KEEPALIVE_MS, keep_alive, late);
+    fleet_schedule (ref->store->fleet, KEEPALIVE_MS, keep_alive, ref);
 }
 
 static void
@@ -362,7 +370,7 @@
   lease->id = ++store->next_lease;
   lease->ttl_ms = call->call.ttl_ms;
   HASH_ADD (hh, store->leases, id, sizeof lease->id, lease);
-  extend (store, lease);
+  renew_lease (store, lease);
   snprintf (text, sizeof text, "%llu", (unsigned long long)lease->id);
   finish (call,
           &(struct platform_reply){ .status = PLATFORM_OK, .lease = text });
@@ -397,12 +405,12 @@
       return;
     case PLATFORM_RENEW:
       if (lease != NULL)
-        extend (store, lease);
+        renew_lease (store, lease);
       finish_status (call, lease != NULL ? PLATFORM_OK : PLATFORM_NOT_FOUND);
       return;
     default:
       if (lease != NULL)
-        end_lease (store, lease);
+        revoke_lease (store, lease);
       finish_status (call, PLATFORM_OK);
       answer_watches (store);
     }
@@ -411,11 +419,11 @@
 static void
 call_arrived (void *arg)
 {
-  struct late *late = arg;
-  struct store_call *call = find_call (late->store, late->id);
+  struct call_ref *ref = arg;
+  struct store_call *call = find_call (ref->store, ref->id);
   if (call != NULL && is_served (call))
     run_call (call);
-  free (late);
+  free (ref);
 }
 
 static uint64_t
@@ -452,7 +460,7 @@
   call->until_ms = fleet_now (host->fleet) + request->wait_ms;
   store->calls++;
   store->watches += request->kind == PLATFORM_WATCH;
-  DL_APPEND (store->list, call);
+  DL_APPEND (store->calls_in_flight, call);
   schedule (call, CALL_MS, call_arrived);
   schedule (call,
             request->wait_ms
@@ -470,7 +478,7 @@
   struct store_call *call = find_call (host->fleet->store, id);
   if (call == NULL)
     return;
-  DL_DELETE (call->store->list, call);
+  DL_DELETE (call->store->calls_in_flight, call);
   free (call);
 }
 
@@ -484,10 +492,10 @@
 }
 
 void
-fleet_store_forget (struct fleet_host *host)
+fleet_store_abandon_calls (struct fleet_host *host)
 {
   struct store_call *call;
-  DL_FOREACH (host->fleet->store->list, call)
+  DL_FOREACH (host->fleet->store->calls_in_flight, call)
   if (call->host == host)
     call->host = NULL;
 }
@@ -506,10 +514,10 @@
 {
   struct store_key *key, *next_key;
   struct store_lease *lease, *next_lease;
-  while (store->list != NULL)
+  while (store->calls_in_flight != NULL)
     {
-      struct store_call *call = store->list;
-      DL_DELETE (store->list, call);
+      struct store_call *call = store->calls_in_flight;
+      DL_DELETE (store->calls_in_flight, call);
       free (call);
     }
   HASH_ITER (hh, store->keys, key, next_key)
@@ -529,14 +537,14 @@
 fleet_store_down (struct fleet *fleet, bool down)
 {
   fleet->store->down = down;
-  check_leases (fleet->store);
+  expire_leases (fleet->store);
 }
 
 void
 fleet_store_drop_watch (struct fleet_host *host)
 {
   struct store_call *call;
-  DL_FOREACH (host->fleet->store->list, call)
+  DL_FOREACH (host->fleet->store->calls_in_flight, call)
   {
     if (call->host != host || !call->waiting)
       continue;
@@ -556,7 +564,7 @@
 fleet_store_compact (struct fleet *fleet)
 {
   fleet->store->revision++;
-  fleet->store->forgotten = fleet->store->revision;
+  fleet->store->compacted_revision = fleet->store->revision;
   answer_watches (fleet->store);
 }
 
--- a/tests/fleet/fleet_unit.h
+++ b/tests/fleet/fleet_unit.h
@@ -1,4 +1,5 @@
-/* fleet_unit - what the unit tests of a fleet share: one fleet a test.  */
+/* fleet_unit - fixture and helpers of the unit tests that run a fleet.  Each
+   test gets a new fleet.  */
 
 #ifndef SAVORYWAY_FLEET_FLEET_UNIT_H
 #define SAVORYWAY_FLEET_FLEET_UNIT_H
@@ -6,9 +7,10 @@
 #include "tests/fleet/fleet.h"
 #include "tests/unit/unit.h"
 
-/* The first holder of the duty is found within 2.5 s, and draws the secret
-   between hosts.  */
+/* Time for a new fleet to start: within 2.5 s a host acquires the promotion
+   duty, and then creates the secret that the hosts share.  */
 #define SETTLE_MS 5000
+/* Time limit of an answer.  */
 #define ANSWER_MS 1500
 
 static struct fleet *fleet;
@@ -16,17 +18,19 @@
 static inline void
 set_up (void)
 {
-  fleet = fleet_new (7, FLEET_USUAL_HOSTS);
+  fleet = fleet_new (7, FLEET_DEFAULT_HOSTS);
   fleet_run (fleet, SETTLE_MS);
 }
 
 static inline void
 tear_down (void)
 {
-  ck_assert_msg (fleet_broken (fleet) == NULL, "%s", fleet_broken (fleet));
+  ck_assert_msg (fleet_violation (fleet) == NULL, "%s",
+                 fleet_violation (fleet));
   fleet_free (fleet);
 }
 
+/* Sends a statement and runs the fleet until it is answered.  */
 static inline enum code
 run (struct fleet_caller *caller, enum stmt_kind kind, const char *name,
      const char *rest)
@@ -38,7 +42,7 @@
   return fleet_caller_code (caller);
 }
 
-/* The host that has the duty to promote.  */
+/* Returns the host that holds the promotion duty.  */
 static inline struct fleet_host *
 duty_holder (void)
 {
@@ -47,10 +51,10 @@
     if (fleet_host (fleet, i)->running
         && roster_holds_duty (fleet_host (fleet, i)->roster, &token))
       return fleet_host (fleet, i);
-  ck_abort_msg ("no host has the duty");
+  ck_abort_msg ("no host holds the duty");
 }
 
-/* Writes until one succeeds; returns how long that took.  */
+/* Sends writes through HOST until one succeeds; returns the time that took. */
 static inline clk_ms
 write_gap_ms (struct fleet_host *host)
 {
--- a/tests/fleet/fleet_world.c
+++ b/tests/fleet/fleet_world.c
@@ -7,9 +7,10 @@
 
 #include "kernel/mem.h"
 
+/* Virtual time at which a fleet starts.  */
 #define START_MS 1000000
 
-struct later
+struct scheduled_call
 {
   struct fleet *fleet;
   struct ktimer timer;
@@ -18,28 +19,28 @@
 };
 
 static void
-fire_later (void *arg)
+run_scheduled (void *arg)
 {
-  struct later *later = arg;
-  void (*fn) (void *) = later->fn;
-  void *fn_arg = later->arg;
-  free (later);
+  struct scheduled_call *call = arg;
+  void (*fn) (void *) = call->fn;
+  void *fn_arg = call->arg;
+  free (call);
   fn (fn_arg);
 }
 
 void
-fleet_later (struct fleet *fleet, clk_ms span_ms, void (*fn) (void *),
-             void *arg)
+fleet_schedule (struct fleet *fleet, clk_ms span_ms, void (*fn) (void *),
+                void *arg)
 {
-  struct later *later = mem_zalloc (sizeof *later);
-  later->fn = fn;
-  later->arg = arg;
-  later->timer = (struct ktimer){ .fire = fire_later, .arg = later };
-  kernel_timer_set (fleet->kernel, &later->timer, fleet->clk.now_ms + span_ms);
+  struct scheduled_call *call = mem_zalloc (sizeof *call);
+  call->fn = fn;
+  call->arg = arg;
+  call->timer = (struct ktimer){ .fire = run_scheduled, .arg = call };
+  kernel_timer_set (fleet->kernel, &call->timer, fleet->clk.now_ms + span_ms);
 }
 
 static void
-quiet (void *arg, int priority, const char *line)
+print_log (void *arg, int priority, const char *line)
 {
   (void)arg;
   if (getenv ("FLEET_LOG") != NULL)
@@ -48,20 +49,20 @@
 }
 
 void
-fleet_break (struct fleet *fleet, const char *format, ...)
+fleet_report_violation (struct fleet *fleet, const char *format, ...)
 {
   va_list args;
-  if (fleet->broken[0] != '\0')
+  if (fleet->violation[0] != '\0')
     return;
   va_start (args, format);
-  vsnprintf (fleet->broken, sizeof fleet->broken, format, args);
+  vsnprintf (fleet->violation, sizeof fleet->violation, format, args);
   va_end (args);
 }
 
 const char *
-fleet_broken (const struct fleet *fleet)
+fleet_violation (const struct fleet *fleet)
 {
-  return fleet->broken[0] != '\0' ? fleet->broken : NULL;
+  return fleet->violation[0] != '\0' ? fleet->violation : NULL;
 }
 
 static void
@@ -71,7 +72,7 @@
   struct instance_entry entry = { .port = (uint16_t)(1000 + index),
                                   .slots = 5,
                                   .draining = instance->draining,
-                                  .is_primary = instance->leads,
+                                  .is_primary = instance->is_primary,
                                   .revision = 1 };
   snprintf (entry.id, sizeof entry.id, "%s", instance->id);
   snprintf (entry.group, sizeof entry.group, FLEET_GROUP);
@@ -88,7 +89,7 @@
     return;
   catalog_begin_list (host->catalog);
   for (size_t i = 0; i < FLEET_INSTANCES; i++)
-    if (!fleet->instances[i].absent)
+    if (!fleet->instances[i].unregistered)
       set_instance_entry (host, &fleet->instances[i], i);
   catalog_end_list (host->catalog, UINT64_MAX);
 }
@@ -131,7 +132,7 @@
   config.group_count = FLEET_GROUPS;
   for (size_t i = 0; i < FLEET_GROUPS; i++)
     {
-      /* Only the first has instances.  */
+      /* Only the first group has instances.  */
       snprintf (config.groups[i].name, NAME_BYTES,
                 i == 0 ? FLEET_GROUP : "group-%zu", i);
       config.groups[i].connections = host->fleet->connections;
@@ -190,7 +191,7 @@
                    forwarded_sessions_module (host->forwarded_sessions));
   kernel_register (host->kernel, mirror_module (mirror_new (&host->store)));
   host->running = true;
-  host->life++;
+  host->incarnation++;
   kernel_start (host->kernel);
   set_config (host);
   publish_to (host);
@@ -202,8 +203,8 @@
   if (!host->running)
     return;
   host->running = false;
-  fleet_store_forget (host);
-  fleet_peer_forget (host);
+  fleet_store_abandon_calls (host);
+  fleet_peer_abandon_calls (host);
   kernel_free (host->kernel);
   host->kernel = NULL;
 }
@@ -211,16 +212,16 @@
 struct fleet *
 fleet_new (uint64_t seed, size_t hosts)
 {
-  return fleet_new_scarce (seed, hosts, 60);
+  return fleet_new_limited (seed, hosts, 60);
 }
 
 struct fleet *
-fleet_new_scarce (uint64_t seed, size_t hosts, uint32_t connections)
+fleet_new_limited (uint64_t seed, size_t hosts, uint32_t connections)
 {
   struct fleet *fleet = mem_zalloc (sizeof *fleet);
   clk_virtual_init (&fleet->clk, START_MS);
   rng_init (&fleet->rng, seed);
-  fleet->log = log_new (&fleet->clk.base, LOG_INFO, 0, quiet, &fleet->clk);
+  fleet->log = log_new (&fleet->clk.base, LOG_INFO, 0, print_log, &fleet->clk);
   fleet->kernel = kernel_new (&fleet->clk.base, &fleet->rng, fleet->log);
   fleet->store = fleet_store_new (fleet);
   fleet->oracle = fleet_oracle_new (fleet);
@@ -237,7 +238,7 @@
       instance->lag_ms = 8;
       instance->max_connections = connections;
     }
-  fleet->instances[0].leads = true;
+  fleet->instances[0].is_primary = true;
   for (size_t i = 0; i < hosts; i++)
     {
       struct fleet_host *host = &fleet->hosts[i];
@@ -257,7 +258,7 @@
 {
   for (size_t i = 0; i < fleet->host_count; i++)
     fleet_host_kill (&fleet->hosts[i]);
-  /* What is still on its way ends at nobody.  */
+  /* Lets the steps in flight end, which free their own memory.  */
   fleet_run (fleet, 60000);
   fleet_store_free (fleet->store);
   fleet_oracle_free (fleet->oracle);
@@ -285,10 +286,10 @@
 }
 
 struct fleet_instance *
-fleet_leader (struct fleet *fleet)
+fleet_primary (struct fleet *fleet)
 {
   for (size_t i = 0; i < FLEET_INSTANCES; i++)
-    if (fleet->instances[i].leads)
+    if (fleet->instances[i].is_primary)
       return &fleet->instances[i];
   return NULL;
 }
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,5 +1,8 @@
-/* Seeded schedules of faults against the real modules of the proxy, with an
-   oracle of the promises.  FLEET_SEEDS sets how many run, FLEET_SEED one.  */
+/* Random schedules of faults, reproducible by their seed, against the real
+   modules of the proxy.  An oracle checks the guarantees.
+
+   FLEET_SEEDS in the environment sets the number of schedules, FLEET_SEED a
+   single seed.  FLEET_LOG, if set, prints the log.  */
 
 #include "kernel/mutant.h"
 #include "tests/fleet/fleet.h"
@@ -8,25 +11,27 @@
 #define SEEDS 300
 #define HOSTS 4
 
-/* Fewer connections than the hosts need: only some have any.  */
-#define SCARCE_SEEDS 150
-#define SCARCE_HOSTS 8
-#define SCARCE_CONNECTIONS 24
+/* Fleets with fewer connections than the hosts need: only some hosts have
+   connections, and the others forward.  */
+#define LIMITED_SEEDS 150
+#define LIMITED_HOSTS 8
+#define LIMITED_CONNECTIONS 24
 
 #define CALLERS 24
 #define STEPS 900
-#define CALM_MS 8000
+/* Time to recover after the last fault.  */
+#define RECOVERY_MS 8000
 
-/* Callers and faults of one schedule.  */
+/* A schedule: callers that send statements, and faults.  */
 struct schedule
 {
   struct fleet *fleet;
   struct rng rng;
   struct fleet_caller *callers[CALLERS];
   size_t host_of[CALLERS];
-  int left[CALLERS]; /* statements of the transaction */
+  int statements_left[CALLERS]; /* in the transaction */
   size_t served;
-  bool restarts; /* killed hosts start again at once */
+  bool restarts; /* killed hosts restart at once */
 };
 
 static uint64_t
@@ -47,7 +52,7 @@
     return;
   s->callers[i] = fleet_caller_open (host, databases[below (s, 3)]);
   s->host_of[i] = h;
-  s->left[i] = 0;
+  s->statements_left[i] = 0;
 }
 
 static void
@@ -64,7 +69,7 @@
   bool failed = fleet_caller_state (caller) == TX_FAILED;
   if (failed || below (s, 12) == 0)
     fleet_caller_send (caller, STMT_ROLLBACK, NULL, NULL);
-  else if (s->left[i]-- <= 0)
+  else if (s->statements_left[i]-- <= 0)
     fleet_caller_send (caller, STMT_COMMIT, NULL, NULL);
   else if (below (s, 3) == 0)
     fleet_caller_send (caller, STMT_WRITE, "k 1", NULL);
@@ -93,7 +98,7 @@
     fleet_caller_send (caller, STMT_EXECUTE, "p", "x");
   else
     {
-      s->left[i] = (int)below (s, 6);
+      s->statements_left[i] = (int)below (s, 6);
       fleet_caller_send (caller, draw < 92 ? STMT_BEGIN : STMT_BEGIN_READ,
                          NULL, NULL);
     }
@@ -133,14 +138,14 @@
 }
 
 static void
-fault_instance (struct schedule *s)
+inject_instance_fault (struct schedule *s)
 {
   struct fleet_instance *instance
       = fleet_instance (s->fleet, below (s, FLEET_INSTANCES));
   switch (below (s, 7))
     {
     case 0:
-      instance->dark = !instance->dark;
+      instance->unreachable = !instance->unreachable;
       break;
     case 1:
       instance->lag_ms = (clk_ms)below (s, 3) * 700 + 5;
@@ -152,10 +157,10 @@
       instance->lost_percent = (uint32_t)below (s, 2) * 5;
       break;
     case 4:
-      instance->deaf = !instance->deaf;
+      instance->replication_stopped = !instance->replication_stopped;
       break;
     case 5:
-      instance->absent = !instance->absent;
+      instance->unregistered = !instance->unregistered;
       fleet_publish (s->fleet);
       break;
     default:
@@ -165,7 +170,7 @@
 }
 
 static void
-fault (struct schedule *s)
+inject_fault (struct schedule *s)
 {
   struct fleet_host *host
       = fleet_host (s->fleet, below (s, s->fleet->host_count));
@@ -192,22 +197,22 @@
         fleet_host_start (host);
       break;
     case 4:
-      host->cut[below (s, FLEET_INSTANCES)] ^= true;
+      host->instances_cut[below (s, FLEET_INSTANCES)] ^= true;
       break;
     default:
-      fault_instance (s);
+      inject_instance_fault (s);
     }
 }
 
 static void
-heal (struct schedule *s)
+clear_faults (struct schedule *s)
 {
   fleet_store_down (s->fleet, false);
   for (size_t i = 0; i < FLEET_INSTANCES; i++)
     {
       struct fleet_instance *instance = fleet_instance (s->fleet, i);
-      instance->dark = instance->deaf = false;
-      instance->absent = instance->draining = false;
+      instance->unreachable = instance->replication_stopped = false;
+      instance->unregistered = instance->draining = false;
       instance->busy_percent = instance->lost_percent = 0;
       instance->lag_ms = 8;
     }
@@ -216,21 +221,21 @@
       struct fleet_host *host = fleet_host (s->fleet, i);
       host->store_cut = false;
       host->peers_cut = false;
-      memset (host->cut, 0, sizeof host->cut);
+      memset (host->instances_cut, 0, sizeof host->instances_cut);
       if (!host->running)
         fleet_host_start (host);
     }
   fleet_publish (s->fleet);
 }
 
-/* After the faults every host serves a write.  */
+/* Checks that every host serves a write after the faults.  */
 static void
 check_recovery (struct schedule *s, uint64_t seed)
 {
   for (size_t i = 0; i < CALLERS; i++)
     if (s->callers[i] != NULL)
       close_caller (s, i);
-  fleet_run (s->fleet, CALM_MS);
+  fleet_run (s->fleet, RECOVERY_MS);
   for (size_t i = 0; i < s->fleet->host_count; i++)
     {
       struct fleet_caller *caller = fleet_caller_open (
@@ -254,38 +259,38 @@
   struct schedule s = { .fleet = fleet, .restarts = restarts };
   rng_init (&s.rng, seed + 1000000);
   fleet_run (s.fleet, 1500);
-  for (int step = 0; step < STEPS && fleet_broken (s.fleet) == NULL; step++)
+  for (int step = 0; step < STEPS && fleet_violation (s.fleet) == NULL; step++)
     {
       for (size_t i = 0; i < CALLERS; i++)
         step_caller (&s, i);
       if (below (&s, 25) == 0)
-        fault (&s);
+        inject_fault (&s);
       fleet_run (s.fleet, 5 + (clk_ms)below (&s, 15));
     }
-  ck_assert_msg (fleet_broken (s.fleet) == NULL, "seed %llu: %s",
-                 (unsigned long long)seed, fleet_broken (s.fleet));
-  heal (&s);
+  ck_assert_msg (fleet_violation (s.fleet) == NULL, "seed %llu: %s",
+                 (unsigned long long)seed, fleet_violation (s.fleet));
+  clear_faults (&s);
   check_recovery (&s, seed);
-  ck_assert_msg (fleet_broken (s.fleet) == NULL, "seed %llu: %s",
-                 (unsigned long long)seed, fleet_broken (s.fleet));
+  ck_assert_msg (fleet_violation (s.fleet) == NULL, "seed %llu: %s",
+                 (unsigned long long)seed, fleet_violation (s.fleet));
   ck_assert_uint_gt (s.served, 100);
   fleet_free (s.fleet);
 }
 
-/* Schedules that failed once.  */
+/* Seeds that failed, with the cause.  */
 static const uint64_t regressions[] = {
-  612, /* the oracle took a SET for acknowledged that was refused */
-  947, /* a silent watch kept the holder from learning of its duty */
-  219, /* no primary after a hand-over without a candidate that answered */
+  612, /* the oracle treated a refused SET as acknowledged */
+  947, /* an unanswered watch hid from a host that it held the duty */
+  219, /* no primary after a planned promotion without a reachable candidate */
 };
 
-UNIT_PLAIN_LOOP (test_schedules_that_failed_once_pass, 0,
+UNIT_PLAIN_LOOP (test_regressions_pass, 0,
                  (int)(sizeof regressions / sizeof regressions[0]))
 {
   run_schedule (regressions[_i], fleet_new (regressions[_i], HOSTS), false);
 }
 
-/* Runs the seeds that the environment asks for, or COUNT.  */
+/* Runs the schedules that the environment selects, by default COUNT.  */
 static void
 run_schedules (uint64_t count, struct fleet *(*new_fleet) (uint64_t seed),
                bool restarts)
@@ -301,25 +306,25 @@
 }
 
 static struct fleet *
-usual_fleet (uint64_t seed)
+default_fleet (uint64_t seed)
 {
   return fleet_new (seed, HOSTS);
 }
 
 static struct fleet *
-scarce_fleet (uint64_t seed)
+limited_fleet (uint64_t seed)
 {
-  return fleet_new_scarce (seed, SCARCE_HOSTS, SCARCE_CONNECTIONS);
+  return fleet_new_limited (seed, LIMITED_HOSTS, LIMITED_CONNECTIONS);
 }
 
-UNIT_PLAIN (test_no_promise_is_broken_under_any_schedule_of_faults)
+UNIT_PLAIN (test_guarantees_hold_under_any_schedule_of_faults)
 {
-  run_schedules (SEEDS, usual_fleet, false);
+  run_schedules (SEEDS, default_fleet, false);
 }
 
-UNIT_PLAIN (test_no_promise_is_broken_where_some_hosts_forward)
+UNIT_PLAIN (test_guarantees_hold_where_some_hosts_forward)
 {
-  run_schedules (SCARCE_SEEDS, scarce_fleet, true);
+  run_schedules (LIMITED_SEEDS, limited_fleet, true);
 }
 
 #ifdef MUTANTS
--- a/tests/unit/test_forwarding.c
+++ b/tests/unit/test_forwarding.c
@@ -1,5 +1,5 @@
-/* Hosts that run statements through each other, relays of the store, and what
-   is refused at a burst.  */
+/* Forwarding between hosts, admission control, relays of the store, and the
+   placement of groups on hosts.  */
 
 #include "proxy/admission.h"
 #include "tests/fleet/fleet_unit.h"
@@ -9,7 +9,7 @@
   struct fleet_host *host = fleet_host (fleet, 4);
   struct fleet_caller *caller
       = fleet_caller_open (host, FLEET_DATABASE_PRIMARY);
-  host->cut[0] = true;
+  host->instances_cut[0] = true;
   fleet_run (fleet, 2000);
   for (int i = 0; i < 10; i++)
     {
@@ -23,20 +23,21 @@
   ck_assert_uint_eq (fleet_promotions (fleet), 0);
 }
 
-#define SCARCE_HOSTS 12
+#define LIMITED_HOSTS 12
 
-/* A fleet in which only some hosts have connections to the group.  */
+/* Replaces the fleet by one in which only some hosts have connections to the
+   group.  */
 static void
-use_scarce_fleet (void)
+use_limited_fleet (void)
 {
   size_t serving = 0;
   fleet_free (fleet);
-  fleet = fleet_new_scarce (7, SCARCE_HOSTS, 20);
+  fleet = fleet_new_limited (7, LIMITED_HOSTS, 20);
   fleet_run (fleet, SETTLE_MS);
-  for (size_t i = 0; i < SCARCE_HOSTS; i++)
+  for (size_t i = 0; i < LIMITED_HOSTS; i++)
     serving += groups_serves (fleet_host (fleet, i)->groups, FLEET_GROUP);
   ck_assert_uint_ge (serving, 2);
-  ck_assert_uint_le (serving, SCARCE_HOSTS / 2);
+  ck_assert_uint_le (serving, LIMITED_HOSTS / 2);
 }
 
 static void
@@ -64,11 +65,11 @@
 
 UNIT_TEST (test_hosts_without_connections_serve_whole_sessions)
 {
-  use_scarce_fleet ();
-  for (size_t i = 0; i < SCARCE_HOSTS; i++)
+  use_limited_fleet ();
+  for (size_t i = 0; i < LIMITED_HOSTS; i++)
     run_session (fleet_host (fleet, i));
   fleet_run (fleet, 500);
-  for (size_t i = 0; i < SCARCE_HOSTS; i++)
+  for (size_t i = 0; i < LIMITED_HOSTS; i++)
     ck_assert_uint_eq (
         forwarded_sessions_count (fleet_host (fleet, i)->forwarded_sessions),
         0);
@@ -76,11 +77,11 @@
     ck_assert_uint_le (fleet_instance (fleet, i)->connections, 20);
 }
 
-UNIT_TEST (test_a_primary_is_replaced_where_some_hosts_have_connections)
+UNIT_TEST (test_a_primary_is_replaced_where_only_some_hosts_have_connections)
 {
-  use_scarce_fleet ();
-  fleet_instance (fleet, 0)->dark = true;
-  for (size_t i = 0; i < SCARCE_HOSTS; i++)
+  use_limited_fleet ();
+  fleet_instance (fleet, 0)->unreachable = true;
+  for (size_t i = 0; i < LIMITED_HOSTS; i++)
     {
       clk_ms gap_ms = write_gap_ms (fleet_host (fleet, i));
       ck_assert_int_le (gap_ms, 1000 + FLEET_PROMOTE_MS);
@@ -88,24 +89,25 @@
   ck_assert_uint_eq (fleet_promotions (fleet), 1);
 }
 
-/* A host that forwards the group's statements.  */
+/* Returns a host without connections to the group, which forwards its
+   statements.  */
 static struct fleet_host *
 forwarding_host (void)
 {
-  for (size_t i = 0; i < SCARCE_HOSTS; i++)
+  for (size_t i = 0; i < LIMITED_HOSTS; i++)
     if (!groups_serves (fleet_host (fleet, i)->groups, FLEET_GROUP))
       return fleet_host (fleet, i);
   ck_abort_msg ("every host serves the group");
 }
 
-UNIT_TEST (test_a_transaction_whose_forwarding_host_dies_leaves_nothing)
+UNIT_TEST (test_a_transaction_is_aborted_if_the_host_that_runs_it_dies)
 {
-  use_scarce_fleet ();
+  use_limited_fleet ();
   struct fleet_caller *caller
       = fleet_caller_open (forwarding_host (), FLEET_DATABASE_PRIMARY);
   ck_assert_int_eq (run (caller, STMT_BEGIN, NULL, NULL), CODE_OK);
   ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
-  for (size_t i = 0; i < SCARCE_HOSTS; i++)
+  for (size_t i = 0; i < LIMITED_HOSTS; i++)
     if (forwarded_sessions_count (fleet_host (fleet, i)->forwarded_sessions)
         > 0)
       fleet_host_kill (fleet_host (fleet, i));
@@ -118,16 +120,16 @@
 count_forwarded_sessions (void)
 {
   size_t forwarded_sessions = 0;
-  for (size_t i = 0; i < SCARCE_HOSTS; i++)
+  for (size_t i = 0; i < LIMITED_HOSTS; i++)
     if (fleet_host (fleet, i)->running)
       forwarded_sessions += forwarded_sessions_count (
           fleet_host (fleet, i)->forwarded_sessions);
   return forwarded_sessions;
 }
 
-UNIT_TEST (test_a_forwarded_statement_ends_with_its_caller)
+UNIT_TEST (test_a_forwarded_statement_is_cancelled_with_its_caller)
 {
-  use_scarce_fleet ();
+  use_limited_fleet ();
   struct fleet_caller *caller
       = fleet_caller_open (forwarding_host (), FLEET_DATABASE_BOUNDED);
   for (size_t i = 0; i < FLEET_INSTANCES; i++)
@@ -140,9 +142,9 @@
   ck_assert_uint_eq (count_forwarded_sessions (), 0);
 }
 
-UNIT_TEST (test_a_transaction_whose_entry_host_dies_is_ended)
+UNIT_TEST (test_a_transaction_is_ended_if_its_entry_host_dies)
 {
-  use_scarce_fleet ();
+  use_limited_fleet ();
   struct fleet_host *host = forwarding_host ();
   struct fleet_caller *caller
       = fleet_caller_open (host, FLEET_DATABASE_PRIMARY);
@@ -153,15 +155,15 @@
   ck_assert_uint_eq (count_forwarded_sessions (), 0);
 }
 
-/* A burst: more come than the slots take.  */
-UNIT_PLAIN (test_statements_that_would_wait_beyond_their_target_are_refused)
+/* A burst of more statements than the slots can run in time.  */
+UNIT_PLAIN (test_statements_that_would_exceed_their_target_are_refused)
 {
   struct admission queue = { 0 };
   size_t waiting = 1;
   ck_assert (admission_enter (&queue, 1000, 500));
   for (clk_ms now_ms = 1000; now_ms < 3000; now_ms += 20)
     admission_note_ran (&queue, now_ms);
-  /* 50 run a second: 25 are served within 500 ms.  */
+  /* At a rate of 50 per second, 25 are served within 500 ms.  */
   while (waiting < 100 && admission_enter (&queue, 3000, 500))
     waiting++;
   ck_assert_uint_ge (waiting, 24);
@@ -173,7 +175,7 @@
   ck_assert (admission_enter (&queue, 3000, 500));
 }
 
-UNIT_PLAIN (test_a_few_statements_wait_where_nothing_ran_yet)
+UNIT_PLAIN (test_the_default_queue_applies_before_a_statement_ran)
 {
   struct admission queue = { 0 };
   for (size_t i = 0; i < ADMISSION_QUEUE_DEFAULT; i++)
@@ -203,13 +205,15 @@
       refused += fleet_caller_code (callers[i]) == CODE_BUSY;
       late += fleet_caller_took_ms (callers[i]) >= 900;
     }
-  /* The rate of a primary that refuses most is not known at first.  */
+  /* At first the service rate of a primary that refuses most statements is
+     unknown, and the default queue applies.  */
   ck_assert_uint_le (late, ADMISSION_QUEUE_DEFAULT);
   ck_assert_uint_gt (refused, 100);
   ck_assert_uint_gt (served, 0);
 }
 
-/* A fleet whose failure domains are large enough for relays.  */
+/* Replaces the fleet by one whose failure domains are large enough for
+   relays.  */
 static void
 use_large_fleet (void)
 {
@@ -219,7 +223,7 @@
 }
 
 static size_t
-hosts_known (size_t index)
+count_hosts_known (size_t index)
 {
   size_t count;
   hosts_list (fleet_host (fleet, index)->others, &count);
@@ -227,7 +231,7 @@
 }
 
 static bool
-serves_others (size_t index)
+is_relay (size_t index)
 {
   const struct fleet_host *host = fleet_host (fleet, index);
   return host->running
@@ -239,7 +243,7 @@
   size_t relays = 0;
   use_large_fleet ();
   for (size_t i = 0; i < FLEET_HOSTS; i++)
-    relays += serves_others (i);
+    relays += is_relay (i);
   ck_assert_uint_eq (relays, (uintmax_t)RELAY_HOSTS * FLEET_ZONES);
   uint64_t before = fleet_store_watches (fleet);
   for (size_t i = 0; i < 10; i++)
@@ -251,34 +255,34 @@
       fleet_run (fleet, 1000);
     }
   for (size_t i = 0; i < FLEET_HOSTS; i++)
-    ck_assert_uint_eq (hosts_known (i), FLEET_HOSTS);
-  /* Each change could bring each host a watch.  */
+    ck_assert_uint_eq (count_hosts_known (i), FLEET_HOSTS);
+  /* Without relays, each change could cost each host a watch.  */
   ck_assert_uint_le (fleet_store_watches (fleet) - before,
                      10 * FLEET_HOSTS / 2);
 }
 
-UNIT_TEST (test_hosts_learn_of_a_change_without_their_relays)
+UNIT_TEST (test_hosts_receive_changes_without_their_relays)
 {
   use_large_fleet ();
   for (size_t i = 0; i < FLEET_HOSTS; i++)
-    if (serves_others (i) && i % 2 == 0)
+    if (is_relay (i) && i % 2 == 0)
       fleet_host (fleet, i)->peers_cut = true;
-    else if (serves_others (i))
+    else if (is_relay (i))
       fleet_host (fleet, i)->store_cut = true;
   fleet_host_kill (fleet_host (fleet, 41));
   fleet_run (fleet, ROSTER_HOST_LEASE_MS + 3000);
   for (size_t i = 0; i < FLEET_HOSTS - 1; i++)
-    if (!serves_others (i))
-      ck_assert_uint_lt (hosts_known (i), FLEET_HOSTS);
+    if (!is_relay (i))
+      ck_assert_uint_lt (count_hosts_known (i), FLEET_HOSTS);
 }
 
-/* A watch that waits at a store that answers nothing any more tells nothing;
-   what the other hosts get must not depend on it.  */
-UNIT_TEST (test_a_relay_that_the_store_refuses_tells_its_followers)
+/* The pending watch of a relay is not answered once the store is unreachable:
+   what the other hosts receive must not depend on it.  */
+UNIT_TEST (test_hosts_stop_using_a_relay_that_cannot_reach_the_store)
 {
   use_large_fleet ();
   for (size_t i = 0; i < FLEET_HOSTS; i++)
-    fleet_host (fleet, i)->store_cut = serves_others (i);
+    fleet_host (fleet, i)->store_cut = is_relay (i);
   fleet_run (fleet, 1500);
   for (size_t i = 0; i < FLEET_HOSTS; i++)
     {
@@ -286,25 +290,25 @@
       const struct relay *relay
           = (const struct relay *)kernel_find (host->kernel, "relay");
       uint64_t token;
-      /* The holder of the duty follows the store itself.  */
-      if (!serves_others (i) && !roster_holds_duty (host->roster, &token))
+      /* The holder of the duty always watches the store directly.  */
+      if (!is_relay (i) && !roster_holds_duty (host->roster, &token))
         ck_assert_ptr_null (relay_source (relay));
     }
 }
 
-UNIT_TEST (test_a_host_that_missed_what_a_relay_forgot_gets_all)
+UNIT_TEST (test_hosts_receive_all_contents_after_a_compaction)
 {
   use_large_fleet ();
   fleet_store_compact (fleet);
   fleet_run (fleet, 3000);
   for (size_t i = 0; i < FLEET_HOSTS; i++)
-    ck_assert_uint_eq (hosts_known (i), FLEET_HOSTS);
-  fleet_instance (fleet, 0)->dark = true;
+    ck_assert_uint_eq (count_hosts_known (i), FLEET_HOSTS);
+  fleet_instance (fleet, 0)->unreachable = true;
   ck_assert_int_le (write_gap_ms (fleet_host (fleet, 1)),
                     1000 + FLEET_PROMOTE_MS);
 }
 
-UNIT_PLAIN (test_hosts_take_as_many_groups_as_the_connections_allow)
+UNIT_PLAIN (test_hosts_serve_as_many_groups_as_the_connections_allow)
 {
   ck_assert_uint_eq (placement_width (72, 17, 3), 3);
   ck_assert_uint_eq (placement_width (61, 13, 3), 3);
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -1,7 +1,7 @@
 #include "proxy/samples.h"
 #include "tests/fleet/fleet_unit.h"
 
-UNIT_TEST (test_reads_of_a_stated_age_leave_the_primary)
+UNIT_TEST (test_reads_of_bounded_staleness_use_replicas)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_BOUNDED);
@@ -14,7 +14,7 @@
   ck_assert_int_lt (on_primary, 4);
 }
 
-UNIT_TEST (test_a_session_sees_its_own_write)
+UNIT_TEST (test_a_session_reads_its_own_writes)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 1), FLEET_DATABASE_SESSION);
@@ -25,7 +25,7 @@
     }
 }
 
-UNIT_TEST (test_reads_of_a_lagging_group_go_on_to_the_primary)
+UNIT_TEST (test_reads_use_the_primary_if_the_replicas_lag)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 1), FLEET_DATABASE_SESSION);
@@ -70,7 +70,7 @@
   ck_assert_int_eq (run (b, STMT_EXECUTE, "unknown", "x"), CODE_NOSTMT);
 }
 
-UNIT_TEST (test_a_commit_refused_for_want_of_a_slot_leaves_nothing_open)
+UNIT_TEST (test_a_commit_refused_as_busy_ends_the_transaction)
 {
   struct fleet_host *host = fleet_host (fleet, 0);
   struct fleet_caller *a = fleet_caller_open (host, FLEET_DATABASE_PRIMARY);
@@ -85,7 +85,7 @@
     ck_assert_int_eq (run (b, STMT_WRITE, "b 1", NULL), CODE_OK);
 }
 
-UNIT_TEST (test_a_caller_that_leaves_in_a_transaction_leaves_no_trace)
+UNIT_TEST (test_a_caller_closed_in_a_transaction_affects_no_other_caller)
 {
   struct fleet_host *host = fleet_host (fleet, 0);
   for (int i = 0; i < 10; i++)
@@ -104,7 +104,7 @@
     }
 }
 
-UNIT_TEST (test_an_idle_transaction_is_ended_and_its_caller_told)
+UNIT_TEST (test_an_idle_transaction_is_aborted)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_PRIMARY);
@@ -117,7 +117,7 @@
   ck_assert_int_eq (run (caller, STMT_READ, "a", NULL), CODE_OK);
 }
 
-UNIT_TEST (test_a_write_whose_answer_is_lost_is_never_refused)
+UNIT_TEST (test_a_write_whose_answer_is_lost_is_not_reported_as_refused)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_PRIMARY);
@@ -127,7 +127,7 @@
   fleet_instance (fleet, 0)->lost_percent = 0;
 }
 
-UNIT_TEST (test_a_read_whose_answer_is_lost_is_tried_elsewhere)
+UNIT_TEST (test_a_read_whose_answer_is_lost_is_retried_elsewhere)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_BOUNDED);
@@ -137,13 +137,13 @@
   fleet_instance (fleet, 1)->lost_percent = 0;
 }
 
-UNIT_TEST (test_reads_that_wait_at_an_instance_that_goes_dark_go_elsewhere)
+UNIT_TEST (test_reads_in_flight_to_an_unreachable_instance_are_retried)
 {
   struct fleet_caller *callers[30];
   for (int i = 0; i < 30; i++)
     callers[i]
         = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_BOUNDED);
-  fleet_instance (fleet, 1)->dark = true;
+  fleet_instance (fleet, 1)->unreachable = true;
   for (int i = 0; i < 30; i++)
     fleet_caller_send (callers[i], STMT_READ, "a", NULL);
   fleet_run (fleet, 750);
@@ -154,15 +154,16 @@
     }
 }
 
-UNIT_TEST (test_a_primary_that_goes_dark_is_replaced_within_a_second)
+UNIT_TEST (test_an_unreachable_primary_is_replaced_within_a_second)
 {
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   clk_ms gap_ms = write_gap_ms (fleet_host (fleet, 1));
   ck_assert_int_eq (fleet_promotions (fleet), 1);
   ck_assert_int_le (gap_ms, 1000 + FLEET_PROMOTE_MS);
 }
 
-/* A promoted instance leads before it has applied all that it received.  */
+/* A promoted instance is the primary before it has applied all of the log that
+   it received.  */
 UNIT_TEST (test_a_new_primary_serves_no_read_until_it_has_applied_its_log)
 {
   struct fleet_caller *writer
@@ -174,10 +175,10 @@
   fleet_instance (fleet, 2)->lag_ms = 1500;
   for (int i = 0; i < 10; i++)
     ck_assert_int_eq (run (writer, STMT_WRITE, "a 1", NULL), CODE_OK);
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   for (size_t i = 0; i < 200; i++)
     {
-      struct fleet_host *host = fleet_host (fleet, i % FLEET_USUAL_HOSTS);
+      struct fleet_host *host = fleet_host (fleet, i % FLEET_DEFAULT_HOSTS);
       struct fleet_caller *reader = fleet_caller_open (
           host, i % 2 ? FLEET_DATABASE_PRIMARY : FLEET_DATABASE_SESSION);
       fleet_caller_send (reader, STMT_READ, "a", NULL);
@@ -187,71 +188,71 @@
   ck_assert_int_eq (run (writer, STMT_READ, "a", NULL), CODE_OK);
 }
 
-UNIT_TEST (test_the_instance_with_the_furthest_log_is_promoted)
+UNIT_TEST (test_the_instance_with_the_longest_log_is_promoted)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_PRIMARY);
-  fleet_instance (fleet, 1)->deaf = true;
+  fleet_instance (fleet, 1)->replication_stopped = true;
   for (int i = 0; i < 5; i++)
     ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
   fleet_run (fleet, 100);
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   write_gap_ms (fleet_host (fleet, 1));
-  ck_assert (fleet_leader (fleet) == fleet_instance (fleet, 2));
+  ck_assert (fleet_primary (fleet) == fleet_instance (fleet, 2));
 }
 
-UNIT_TEST (test_a_leaving_primary_is_handed_over_without_loss)
+UNIT_TEST (test_a_draining_primary_is_replaced_without_loss)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_PRIMARY);
   for (int i = 0; i < 5; i++)
     ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
-  struct position before = fleet_leader (fleet)->applied;
+  struct position before = fleet_primary (fleet)->applied;
   fleet_instance (fleet, 0)->draining = true;
   fleet_publish (fleet);
   clk_ms gap_ms = write_gap_ms (fleet_host (fleet, 1));
   fleet_run (fleet, 1000);
   ck_assert_int_eq (fleet_promotions (fleet), 1);
-  ck_assert (fleet_leader (fleet) != fleet_instance (fleet, 0));
-  ck_assert_uint_ge (fleet_leader (fleet)->applied.lsn, before.lsn + 1);
+  ck_assert (fleet_primary (fleet) != fleet_instance (fleet, 0));
+  ck_assert_uint_ge (fleet_primary (fleet)->applied.lsn, before.lsn + 1);
   ck_assert_int_le (gap_ms, 200 + FLEET_PROMOTE_MS);
 }
 
-/* A promotion would give up what no replica has received.  */
-UNIT_TEST (test_a_primary_is_not_handed_over_to_replicas_that_lag_behind)
+/* A promotion would discard the commits that no replica has received.  */
+UNIT_TEST (test_a_primary_is_not_replaced_by_replicas_that_lag)
 {
   struct fleet_caller *writer
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_PRIMARY);
-  fleet_instance (fleet, 1)->deaf = true;
-  fleet_instance (fleet, 2)->deaf = true;
-  for (size_t i = 1; i < FLEET_USUAL_HOSTS; i++)
-    fleet_host (fleet, i)->cut[0] = true;
-  duty_holder ()->cut[0] = false;
+  fleet_instance (fleet, 1)->replication_stopped = true;
+  fleet_instance (fleet, 2)->replication_stopped = true;
+  for (size_t i = 1; i < FLEET_DEFAULT_HOSTS; i++)
+    fleet_host (fleet, i)->instances_cut[0] = true;
+  duty_holder ()->instances_cut[0] = false;
   for (int i = 0; i < 40; i++)
     {
       ck_assert_int_eq (run (writer, STMT_WRITE, "a 1", NULL), CODE_OK);
       fleet_run (fleet, 100);
     }
   ck_assert_uint_eq (fleet_promotions (fleet), 0);
-  ck_assert (fleet_leader (fleet) == fleet_instance (fleet, 0));
+  ck_assert (fleet_primary (fleet) == fleet_instance (fleet, 0));
 }
 
-/* The old primary is back, with commits that the new term gave up.  */
-/* Each instance is reached by a half of the hosts: one that leads, whichever,
-   serves all of them.  */
-UNIT_TEST (test_a_primary_that_half_of_the_hosts_reach_stays)
+/* Whichever instance is the primary, only half of the hosts reach it, and the
+   others forward to them: a promotion would gain nothing.  */
+UNIT_TEST (test_a_primary_that_half_of_the_hosts_reach_is_not_replaced)
 {
-  for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+  for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
     {
       struct fleet_host *host = fleet_host (fleet, i);
-      host->cut[0] = i >= FLEET_USUAL_HOSTS / 2;
-      host->cut[1] = host->cut[2] = !host->cut[0];
+      host->instances_cut[0] = i >= FLEET_DEFAULT_HOSTS / 2;
+      host->instances_cut[1] = host->instances_cut[2]
+          = !host->instances_cut[0];
     }
   fleet_run (fleet, 1500);
   for (int i = 0; i < 30; i++)
     {
       struct fleet_host *host
-          = fleet_host (fleet, (size_t)i % FLEET_USUAL_HOSTS);
+          = fleet_host (fleet, (size_t)i % FLEET_DEFAULT_HOSTS);
       struct fleet_caller *caller
           = fleet_caller_open (host, FLEET_DATABASE_PRIMARY);
       ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
@@ -261,42 +262,44 @@
   ck_assert_uint_eq (fleet_promotions (fleet), 0);
 }
 
-/* Its primary refused: another host has had one promoted that this holder
-   can't reach.  */
-UNIT_TEST (test_a_holder_that_knows_of_no_primary_alone_promotes_none)
+/* The primary that the holder of the duty knows has been demoted, since
+   another host had an instance promoted that this holder can't reach.  */
+UNIT_TEST (test_a_holder_that_alone_sees_no_primary_promotes_none)
 {
   struct fleet_host *host = duty_holder ();
-  host->cut[1] = true;
+  host->instances_cut[1] = true;
   host->store_cut = true;
-  fleet_instance (fleet, 0)->leads = false;
-  fleet_instance (fleet, 1)->leads = true;
+  fleet_instance (fleet, 0)->is_primary = false;
+  fleet_instance (fleet, 1)->is_primary = true;
   fleet_publish (fleet);
-  host->store_cut = false; /* it has missed the entries alone */
+  host->store_cut = false; /* only this host missed the entries */
   fleet_run (fleet, 1400);
   ck_assert_uint_eq (fleet_promotions (fleet), 0);
-  ck_assert (fleet_leader (fleet) == fleet_instance (fleet, 1));
+  ck_assert (fleet_primary (fleet) == fleet_instance (fleet, 1));
 }
 
-UNIT_TEST (test_an_instance_that_missed_a_term_is_passed_over)
+/* The old primary is reachable again, with commits that the new term has
+   discarded.  */
+UNIT_TEST (test_an_instance_that_missed_a_term_is_not_promoted)
 {
-  fleet_instance (fleet, 1)->deaf = true;
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 1)->replication_stopped = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   write_gap_ms (fleet_host (fleet, 1));
-  struct fleet_instance *second = fleet_leader (fleet);
+  struct fleet_instance *second = fleet_primary (fleet);
   struct position old = { 1, second->received.lsn + 50 };
-  fleet_instance (fleet, 0)->dark = false;
+  fleet_instance (fleet, 0)->unreachable = false;
   fleet_instance (fleet, 0)->received = old;
   fleet_instance (fleet, 0)->applied = old;
   for (size_t i = 1; i < FLEET_INSTANCES; i++)
-    fleet_instance (fleet, i)->dark = true;
+    fleet_instance (fleet, i)->unreachable = true;
   fleet_run (fleet, 5000);
   ck_assert_uint_eq (fleet_promotions (fleet), 1);
-  second->dark = false;
+  second->unreachable = false;
   fleet_run (fleet, 2000);
-  ck_assert (fleet_leader (fleet) == second);
+  ck_assert (fleet_primary (fleet) == second);
 }
 
-UNIT_TEST (test_a_token_that_the_platform_refused_is_not_used_again)
+UNIT_TEST (test_a_fencing_token_that_was_refused_is_not_used_again)
 {
   uint64_t token;
   struct fleet_host *holder = duty_holder ();
@@ -310,45 +313,45 @@
   fleet_store_down (fleet, false);
 }
 
-UNIT_TEST (test_one_host_that_cannot_reach_the_primary_changes_nothing)
+UNIT_TEST (test_one_host_that_cannot_reach_the_primary_causes_no_promotion)
 {
-  for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+  for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
     {
       struct fleet_host *host = fleet_host (fleet, i);
-      host->cut[0] = true;
+      host->instances_cut[0] = true;
       fleet_run (fleet, 3000);
       ck_assert_uint_eq (fleet_promotions (fleet), 0);
-      host->cut[0] = false;
+      host->instances_cut[0] = false;
       fleet_run (fleet, 1000);
     }
 }
 
 UNIT_TEST (test_hosts_of_one_failure_domain_are_no_majority)
 {
-  for (size_t i = 0; i < FLEET_USUAL_HOSTS; i += FLEET_ZONES)
-    fleet_host (fleet, i + 1)->cut[0] = true;
+  for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i += FLEET_ZONES)
+    fleet_host (fleet, i + 1)->instances_cut[0] = true;
   fleet_run (fleet, 250);
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_PRIMARY);
   ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
 }
 
-UNIT_TEST (test_a_primary_behind_a_cut_of_its_failure_domain_is_replaced)
+UNIT_TEST (test_a_primary_in_a_partitioned_failure_domain_is_replaced)
 {
   struct fleet_host *inside = NULL;
-  for (size_t h = 0; h < FLEET_USUAL_HOSTS; h++)
+  for (size_t h = 0; h < FLEET_DEFAULT_HOSTS; h++)
     {
       struct fleet_host *host = fleet_host (fleet, h);
       bool in = strcmp (host->zone, "zone-0") == 0;
       host->store_cut = in;
       for (size_t i = 0; i < FLEET_INSTANCES; i++)
-        host->cut[i] = in != (i == 0);
+        host->instances_cut[i] = in != (i == 0);
       if (in)
         inside = host;
     }
   ck_assert (!groups_cut_off (inside->groups));
   fleet_run (fleet, 4500);
-  ck_assert (fleet_leader (fleet) != fleet_instance (fleet, 0));
+  ck_assert (fleet_primary (fleet) != fleet_instance (fleet, 0));
   ck_assert (groups_cut_off (inside->groups));
   ck_assert (!groups_cut_off (fleet_host (fleet, 1)->groups));
   struct fleet_caller *caller
@@ -357,28 +360,28 @@
   ck_assert_int_lt (fleet_caller_took_ms (caller), 50);
 }
 
-UNIT_TEST (test_the_duty_passes_on_with_a_higher_token_when_its_holder_dies)
+UNIT_TEST (test_the_next_holder_of_the_duty_has_a_higher_token)
 {
   uint64_t first = 0, token = 0;
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   write_gap_ms (fleet_host (fleet, 1));
-  fleet_instance (fleet, 0)->dark = false;
+  fleet_instance (fleet, 0)->unreachable = false;
   first = fleet_token (fleet);
   fleet_host_kill (duty_holder ());
   fleet_run (fleet, 3000);
   size_t holders = 0;
-  for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+  for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
     holders += fleet_host (fleet, i)->running
                && roster_holds_duty (fleet_host (fleet, i)->roster, &token);
   ck_assert_uint_eq (holders, 1);
   ck_assert_uint_gt (token, first);
 }
 
-UNIT_TEST (test_a_primary_is_replaced_while_the_store_is_away)
+UNIT_TEST (test_a_primary_is_replaced_while_the_store_is_unavailable)
 {
   fleet_store_down (fleet, true);
   fleet_run (fleet, 4000);
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   clk_ms gap_ms = write_gap_ms (fleet_host (fleet, 1));
   ck_assert_uint_eq (fleet_promotions (fleet), 1);
   ck_assert_int_le (gap_ms, 1000 + FLEET_PROMOTE_MS);
@@ -387,19 +390,19 @@
   ck_assert_uint_eq (fleet_promotions (fleet), 1);
 }
 
-UNIT_TEST (test_hosts_that_the_store_refuses_are_heard_by_the_holder)
+UNIT_TEST (test_reports_reach_the_holder_without_the_store)
 {
   uint64_t token;
-  for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+  for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
     fleet_host (fleet, i)->store_cut
         = !roster_holds_duty (fleet_host (fleet, i)->roster, &token);
   fleet_run (fleet, 4000);
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   write_gap_ms (fleet_host (fleet, 1));
   ck_assert_uint_eq (fleet_promotions (fleet), 1);
 }
 
-UNIT_TEST (test_a_holder_that_the_store_refuses_alone_stops)
+UNIT_TEST (test_a_holder_that_alone_loses_the_store_gives_up_the_duty)
 {
   uint64_t token;
   struct fleet_host *holder = duty_holder ();
@@ -408,46 +411,46 @@
   ck_assert (!roster_holds_duty (holder->roster, &token));
 }
 
-UNIT_TEST (test_a_report_ends_with_the_process_that_made_it)
+UNIT_TEST (test_a_report_expires_with_the_process_that_sent_it)
 {
   struct fleet_host *host = fleet_host (fleet, 1);
   struct roster *other = fleet_host (fleet, 2)->roster;
-  host->cut[0] = true;
+  host->instances_cut[0] = true;
   fleet_run (fleet, 5000);
   ck_assert_uint_eq (
       roster_count_reports (other, FLEET_GROUP, "i-0").hosts_reporting, 1);
   fleet_host_kill (host);
-  host->cut[0] = false;
+  host->instances_cut[0] = false;
   fleet_host_start (host);
   fleet_run (fleet, 2500);
   ck_assert_uint_eq (
       roster_count_reports (other, FLEET_GROUP, "i-0").hosts_reporting, 0);
 }
 
-/* The leases of processes that lost power end after their successors have
+/* The leases of the killed processes expire after the new processes have
    started.  */
-UNIT_TEST (test_hosts_that_restart_at_once_stay_known)
+UNIT_TEST (test_hosts_that_restart_together_stay_listed)
 {
   size_t count;
-  for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+  for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
     fleet_host_kill (fleet_host (fleet, i));
   fleet_run (fleet, 1000);
-  for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+  for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
     fleet_host_start (fleet_host (fleet, i));
   fleet_run (fleet, 500);
   for (int step = 0; step < 100; step++)
     {
       fleet_run (fleet, 100);
-      for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+      for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
         {
           hosts_list (fleet_host (fleet, i)->others, &count);
-          ck_assert_uint_eq (count, FLEET_USUAL_HOSTS - 1);
+          ck_assert_uint_eq (count, FLEET_DEFAULT_HOSTS - 1);
         }
     }
 }
 
-/* An outage in which the store lets leases run out.  */
-UNIT_TEST (test_hosts_whose_registrations_lapse_together_stay_known)
+/* All leases expire during an outage of the store.  */
+UNIT_TEST (test_hosts_whose_registrations_expire_together_stay_listed)
 {
   size_t count;
   fleet_store_down (fleet, true);
@@ -456,28 +459,29 @@
   for (int step = 0; step < 100; step++)
     {
       fleet_run (fleet, 100);
-      for (size_t i = 0; i < FLEET_USUAL_HOSTS; i++)
+      for (size_t i = 0; i < FLEET_DEFAULT_HOSTS; i++)
         {
           hosts_list (fleet_host (fleet, i)->others, &count);
-          ck_assert_uint_ge (4 * (count + 1), (size_t)3 * FLEET_USUAL_HOSTS);
+          ck_assert_uint_ge (4 * (count + 1), (size_t)3 * FLEET_DEFAULT_HOSTS);
         }
     }
 }
 
-UNIT_TEST (test_a_store_that_forgot_its_history_is_read_anew)
+UNIT_TEST (test_a_store_is_listed_again_after_a_compaction)
 {
   fleet_store_compact (fleet);
   fleet_run (fleet, 1000);
-  fleet_instance (fleet, 0)->dark = true;
+  fleet_instance (fleet, 0)->unreachable = true;
   write_gap_ms (fleet_host (fleet, 1));
   ck_assert_uint_eq (fleet_promotions (fleet), 1);
 }
 
-/* A store that was silent may have lost the watches that waited.  */
-UNIT_TEST (test_a_watch_from_before_an_outage_is_not_relied_on)
+/* After an outage the store may have dropped pending watches without closing
+   their connections.  */
+UNIT_TEST (test_a_watch_is_restarted_after_an_outage)
 {
   size_t count;
-  fleet_run (fleet, 3000); /* all watch */
+  fleet_run (fleet, 3000); /* until all hosts watch */
   fleet_store_drop_watches (fleet);
   fleet_store_down (fleet, true);
   fleet_run (fleet, 2800);
@@ -492,11 +496,12 @@
     }
 }
 
-/* One that began while the store forgot its history may wait without end.  */
-UNIT_TEST (test_a_watch_that_hears_nothing_is_begun_anew_when_others_tell)
+/* A watch that starts while the store compacts its history may never be
+   answered.  */
+UNIT_TEST (test_an_unanswered_watch_is_restarted_if_other_hosts_are_ahead)
 {
   size_t count;
-  fleet_run (fleet, 3000); /* all watch */
+  fleet_run (fleet, 3000); /* until all hosts watch */
   fleet_store_drop_watch (fleet_host (fleet, 2));
   fleet_host_kill (fleet_host (fleet, 5));
   fleet_run (fleet, ROSTER_HOST_LEASE_MS + 1500);
@@ -504,25 +509,26 @@
   ck_assert_uint_eq (count, 4);
 }
 
-UNIT_TEST (test_entries_that_lapsed_in_an_outage_prove_nothing_at_once)
+/* Entries of instances may expire during an outage of the store.  */
+UNIT_TEST (test_a_primary_whose_entry_is_missing_briefly_is_not_replaced)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_PRIMARY);
-  fleet_instance (fleet, 0)->absent = true;
+  fleet_instance (fleet, 0)->unregistered = true;
   fleet_publish (fleet);
   fleet_run (fleet, 1500);
-  fleet_instance (fleet, 0)->absent = false;
+  fleet_instance (fleet, 0)->unregistered = false;
   fleet_publish (fleet);
   fleet_run (fleet, 3000);
   ck_assert_uint_eq (fleet_promotions (fleet), 0);
   ck_assert_int_eq (run (caller, STMT_WRITE, "a 1", NULL), CODE_OK);
 }
 
-UNIT_TEST (test_an_instance_whose_entry_is_gone_gets_no_work)
+UNIT_TEST (test_an_instance_whose_entry_was_removed_gets_no_statements)
 {
   struct fleet_caller *caller
       = fleet_caller_open (fleet_host (fleet, 0), FLEET_DATABASE_BOUNDED);
-  fleet_instance (fleet, 1)->absent = true;
+  fleet_instance (fleet, 1)->unregistered = true;
   fleet_publish (fleet);
   fleet_run (fleet, 6000);
   for (int i = 0; i < 20; i++)
@@ -532,23 +538,24 @@
     }
 }
 
-UNIT_TEST (test_a_calm_fleet_makes_few_calls_to_the_store)
+UNIT_TEST (test_an_idle_fleet_makes_few_calls_to_the_store)
 {
   uint64_t before = fleet_store_calls (fleet);
   fleet_run (fleet, 30000);
   uint64_t calls = fleet_store_calls (fleet) - before;
-  /* A host renews its lease every 2.5 s, watches for 30 s, counts every
-     15 s; the holder of the duty renews every 450 ms besides.  */
-  ck_assert_uint_le (calls, FLEET_USUAL_HOSTS * (12 + 1 + 2 + 1) + 67);
+  /* Per host: a lease renewal every 2.5 s, a watch of 30 s and a check every
+     15 s.  In addition, the holder of the duty renews its lease every
+     450 ms.  */
+  ck_assert_uint_le (calls, FLEET_DEFAULT_HOSTS * (12 + 1 + 2 + 1) + 67);
 }
 
-UNIT_TEST (test_connections_stay_within_those_of_an_instance)
+UNIT_TEST (test_connections_stay_within_the_shares_of_the_hosts)
 {
   struct fleet_caller *callers[60];
   for (int i = 0; i < 60; i++)
     {
       callers[i] = fleet_caller_open (
-          fleet_host (fleet, (size_t)i % FLEET_USUAL_HOSTS),
+          fleet_host (fleet, (size_t)i % FLEET_DEFAULT_HOSTS),
           FLEET_DATABASE_PRIMARY);
       ck_assert_int_eq (run (callers[i], STMT_BEGIN, NULL, NULL), CODE_OK);
       fleet_caller_send (callers[i], STMT_WRITE, "a 1", NULL);
@@ -556,10 +563,10 @@
     }
   fleet_run (fleet, 1500);
   ck_assert_uint_le (fleet_instance (fleet, 0)->connections,
-                     (uintmax_t)FLEET_USUAL_HOSTS * GROUP_SHARE_LIMIT);
+                     (uintmax_t)FLEET_DEFAULT_HOSTS * GROUP_SHARE_LIMIT);
 }
 
-UNIT_PLAIN (test_the_oldest_sample_within_the_stated_age_is_the_floor)
+UNIT_PLAIN (test_the_oldest_sample_within_the_staleness_limit_is_the_floor)
 {
   struct samples samples = { 0 };
   struct position floor;
