--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -161,16 +161,16 @@
   const char *values;
   struct position position;
 };
-/* A read or write was executed; WRITES tells which.  */
+/* Checks the execution of a read or, if WRITES, of a write.  */
 void oracle_executed (struct fleet *fleet,
                       const struct fleet_execution *execution, bool writes);
-/* The transaction TX on LINK was committed by the statement COMMIT_ID.  */
+/* Records the commit of transaction TX on LINK by the statement COMMIT_ID.  */
 void oracle_committed (struct fleet *fleet, uint64_t link, uint64_t tx,
                        const char *commit_id, struct position position);
-/* The write ID outside a transaction was committed.  */
+/* Records the commit of the write ID, which ran outside a transaction.  */
 void oracle_single_write (struct fleet *fleet, const char *id,
                           struct position position);
-/* A promotion discarded all commits after BEYOND.  */
+/* Marks the commits after BEYOND as discarded by a promotion.  */
 void oracle_rolled_back (struct fleet *fleet, struct position beyond,
                          uint64_t new_term);
 
@@ -189,6 +189,7 @@
 bool fleet_caller_waits (const struct fleet_caller *caller);
 enum code fleet_caller_code (const struct fleet_caller *caller);
 enum tx_state fleet_caller_state (const struct fleet_caller *caller);
+/* Returns the time from sending the last statement to its answer.  */
 clk_ms fleet_caller_took_ms (const struct fleet_caller *caller);
 /* Returns the id of the instance that executed the last statement, or "" if
    none did.  */
--- a/tests/fleet/fleet_instance.c
+++ b/tests/fleet/fleet_instance.c
@@ -1,3 +1,5 @@
+/* Model of the instances and of promotion by the platform.  */
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,8 +11,6 @@
 #include "proxy/values.h"
 #include "tests/fleet/fleet.h"
 
-/* Model of the instances and of promotion by the platform.  */
-
 /* One-way delay of a message.  */
 #define NET_MS 1
 #define CONNECT_MS 2
--- a/tests/fleet/fleet_oracle.c
+++ b/tests/fleet/fleet_oracle.c
@@ -1,3 +1,6 @@
+/* Checks the guarantees: what instances execute against what callers sent, and
+   the answers against what was committed.  */
+
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,9 +12,6 @@
 #include "proxy/values.h"
 #include "tests/fleet/fleet.h"
 
-/* Checks the guarantees: what instances execute against what callers sent, and
-   the answers against what was committed.  */
-
 #define TEXT_BYTES 256
 #define VALUES_BYTES 512
 /* Most writes of a transaction that are recorded.  */
--- a/tests/fleet/fleet_store.c
+++ b/tests/fleet/fleet_store.c
@@ -1,3 +1,5 @@
+/* Model of the platform's store.  */
+
 #include "tests/fleet/fleet.h"
 
 #include <stdio.h>
@@ -9,8 +11,6 @@
 
 #include "kernel/mem.h"
 
-/* Model of the platform's store.  */
-
 /* Delay from a call to its execution.  */
 #define CALL_MS 4
 #define KEY_BYTES 200
--- a/tests/fleet/fleet_world.c
+++ b/tests/fleet/fleet_world.c
@@ -1,3 +1,5 @@
+/* Set-up of a fleet, its configuration, and virtual time.  */
+
 #include "tests/fleet/fleet.h"
 
 #include <stdarg.h>
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -2,7 +2,8 @@
    modules of the proxy.  An oracle checks the guarantees.
 
    FLEET_SEEDS in the environment sets the number of schedules, FLEET_SEED a
-   single seed.  FLEET_LOG, if set, prints the log.  */
+   single seed.  FLEET_LOG, if set, prints the log.  With MUTANTS,
+   FLEET_MUTANT names the mutant to activate.  */
 
 #include "kernel/mutant.h"
 #include "tests/fleet/fleet.h"
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -1,3 +1,6 @@
+/* Routing of statements, transactions, promotion, and registration of hosts,
+   on a simulated fleet.  */
+
 #include "proxy/samples.h"
 #include "tests/fleet/fleet_unit.h"
 
