--- a/tests/standin/fleet_standin.c
+++ b/tests/standin/fleet_standin.c
@@ -1,9 +1,19 @@
-/* Stand-in of the users' platform: one replica group of three instances, the
-   key-value store and the call that promotes, on ephemeral loopback ports.
+/* fleet_standin - stand-in for the platform that "savoryway serve" runs on.
 
-   Prints "store=PORT promote=PORT control=PORT" once it serves.  The control
-   port takes POST /fault {"instance": N, "kind": "crash"|"drain"|"back"} and
-   GET /state.  Replicas apply at once.  */
+   One process serves a database group of three instances, the platform's
+   key-value store and the HTTP call that promotes an instance, all on
+   ephemeral loopback ports.  It prints one line when it is ready:
+
+     store=PORT promote=PORT control=PORT
+
+   Control port (HTTP):
+     POST /fault {"instance": N, "kind": KIND}   N counts from 0
+       crash  closes the listener and all connections of the instance
+       back   restarts a crashed instance on its old port
+       drain  publishes the instance as draining
+     GET /state  the leader, its term and the number of writes so far, as JSON
+
+   Instances share one set of rows, so replicas have no lag.  */
 
 #include <inttypes.h>
 #include <stdio.h>
@@ -25,27 +35,28 @@
 #include "standin_control.h"
 
 #define INSTANCES 3
-#define KEYS 256
-#define PROMOTE_US 100000
+#define KEY_LIMIT 256
+#define PROMOTION_DELAY_US 100000 /* from the call to the change of roles */
 #define GROUP "books"
 #define DATABASE "ledger"
 
-struct stored
+struct store_entry
 {
   char key[200];
   char *value; /* base64 */
   uint64_t revision;
   uint64_t created;
   json_int_t lease;
-  bool removed;
+  bool removed; /* kept, since watches report removed keys */
 };
 
+/* A watch call that waits for a change below its prefix.  */
 struct watch
 {
   struct evhttp_request *request;
-  struct event *limit;
+  struct event *timeout;
   char prefix[200];
-  uint64_t after;
+  uint64_t after_revision;
   struct watch *prev;
   struct watch *next;
 };
@@ -63,7 +74,7 @@
 {
   struct instance *instance;
   struct bufferevent *bev;
-  char state; /* I, T or E */
+  char state; /* I: idle, T: in a transaction, E: transaction failed */
   bool plain;
   struct connection *prev;
   struct connection *next;
@@ -73,18 +84,19 @@
 static struct instance instances[INSTANCES];
 static struct connection *connections;
 static size_t leader;
-static uint64_t term = 1, number;
+static uint64_t term = 1;
+static uint64_t number; /* of writes so far; log position within the term */
 static char values[64][64]; /* of items "0" to "63" */
-static struct stored keys[KEYS];
+static struct store_entry keys[KEY_LIMIT];
 static size_t key_count;
 static uint64_t revision = 1;
 static json_int_t next_lease = 100;
 static struct watch *watches;
-static size_t promoted;
+static size_t promotion_target;
 
 /* Store.  */
 
-static struct stored *
+static struct store_entry *
 find_key (const char *key)
 {
   for (size_t i = 0; i < key_count; i++)
@@ -94,15 +106,15 @@
 }
 
 static json_t *
-item_json (const struct stored *item)
-{
-  if (item->removed)
-    return json_pack ("{s:s, s:I, s:b}", "key", item->key, "revision",
-                      (json_int_t)item->revision, "removed", 1);
-  return json_pack ("{s:s, s:s, s:I, s:I, s:I}", "key", item->key, "value",
-                    item->value, "revision", (json_int_t)item->revision,
-                    "created", (json_int_t)item->created, "lease",
-                    item->lease);
+entry_json (const struct store_entry *entry)
+{
+  if (entry->removed)
+    return json_pack ("{s:s, s:I, s:b}", "key", entry->key, "revision",
+                      (json_int_t)entry->revision, "removed", 1);
+  return json_pack ("{s:s, s:s, s:I, s:I, s:I}", "key", entry->key, "value",
+                    entry->value, "revision", (json_int_t)entry->revision,
+                    "created", (json_int_t)entry->created, "lease",
+                    entry->lease);
 }
 
 static void
@@ -117,23 +129,27 @@
   json_decref (body);
 }
 
-/* Items below PREFIX changed after AFTER; removed ones only for a watch.  */
+/* Returns the entries below PREFIX changed after AFTER_REVISION; removed ones
+   only for a watch.  */
 static json_t *
-collect (const char *prefix, uint64_t after, bool watch)
+collect_entries (const char *prefix, uint64_t after_revision, bool watch)
 {
   json_t *array = json_array ();
   for (size_t i = 0; i < key_count; i++)
     if (strncmp (keys[i].key, prefix, strlen (prefix)) == 0
-        && keys[i].revision > after && (watch || !keys[i].removed))
-      json_array_append_new (array, item_json (&keys[i]));
+        && keys[i].revision > after_revision && (watch || !keys[i].removed))
+      json_array_append_new (array, entry_json (&keys[i]));
   return array;
 }
 
+/* Answers and frees WATCH.  Returns false, without an answer, if there are no
+   events and EVEN_IF_EMPTY is not set.  */
 static bool
-answer_watch (struct watch *watch, bool always)
+watch_reply (struct watch *watch, bool even_if_empty)
 {
-  json_t *events = collect (watch->prefix, watch->after, true);
-  if (json_array_size (events) == 0 && !always)
+  json_t *events
+      = collect_entries (watch->prefix, watch->after_revision, true);
+  if (json_array_size (events) == 0 && !even_if_empty)
     {
       json_decref (events);
       return false;
@@ -142,48 +158,48 @@
               json_pack ("{s:o, s:I}", "events", events, "as_of",
                          (json_int_t)revision));
   DL_DELETE (watches, watch);
-  event_free (watch->limit);
+  event_free (watch->timeout);
   free (watch);
   return true;
 }
 
 static void
-changed (void)
+answer_changed_watches (void)
 {
   struct watch *watch, *next;
   DL_FOREACH_SAFE (watches, watch, next)
-  answer_watch (watch, false);
+  watch_reply (watch, false);
 }
 
 static void
 put_key (const char *key, const char *value, json_int_t lease)
 {
-  struct stored *item = find_key (key);
-  if (item == NULL && key_count == KEYS)
+  struct store_entry *entry = find_key (key);
+  if (entry == NULL && key_count == KEY_LIMIT)
     abort ();
-  if (item == NULL)
+  if (entry == NULL)
     {
-      item = &keys[key_count++];
-      snprintf (item->key, sizeof item->key, "%s", key);
-      item->removed = true;
+      entry = &keys[key_count++];
+      snprintf (entry->key, sizeof entry->key, "%s", key);
+      entry->removed = true;
     }
   revision++;
-  if (item->removed)
-    item->created = revision;
-  free (item->value);
-  item->value = mem_strdup (value);
-  item->revision = revision;
-  item->lease = lease;
-  item->removed = false;
+  if (entry->removed)
+    entry->created = revision;
+  free (entry->value);
+  entry->value = mem_strdup (value);
+  entry->revision = revision;
+  entry->lease = lease;
+  entry->removed = false;
 }
 
 static void
-remove_stored (struct stored *item)
+remove_entry (struct store_entry *entry)
 {
-  if (item == NULL || item->removed)
+  if (entry == NULL || entry->removed)
     return;
-  item->removed = true;
-  item->revision = ++revision;
+  entry->removed = true;
+  entry->revision = ++revision;
 }
 
 static void
@@ -194,8 +210,9 @@
   free (value);
 }
 
+/* Writes the records of the instances, as the platform lists them.  */
 static void
-publish (void)
+publish_instances (void)
 {
   for (size_t i = 0; i < INSTANCES; i++)
     {
@@ -211,7 +228,7 @@
       free (key);
       free (text);
     }
-  changed ();
+  answer_changed_watches ();
 }
 
 static json_t *
@@ -227,34 +244,35 @@
 {
   json_t *body = read_body (request), *row;
   size_t i;
-  bool good = true;
+  bool matches = true;
   json_array_foreach (json_object_get (body, "expected"), i, row)
   {
-    const struct stored *item
+    const struct store_entry *entry
         = find_key (json_string_value (json_object_get (row, "key")));
-    json_int_t stands
-        = item != NULL && !item->removed ? (json_int_t)item->revision : 0;
-    good = good
-           && stands == json_integer_value (json_object_get (row, "revision"));
+    json_int_t revision_found
+        = entry != NULL && !entry->removed ? (json_int_t)entry->revision : 0;
+    matches = matches
+              && revision_found
+                     == json_integer_value (json_object_get (row, "revision"));
   }
-  json_array_foreach (json_object_get (body, "set_keys"), i, row) if (good)
+  json_array_foreach (json_object_get (body, "set_keys"), i, row) if (matches)
       put_key (json_string_value (json_object_get (row, "key")),
                json_string_value (json_object_get (row, "value")),
                json_integer_value (json_object_get (row, "lease")));
-  json_array_foreach (json_object_get (body, "remove"), i, row) if (good)
-      remove_stored (find_key (json_string_value (row)));
+  json_array_foreach (json_object_get (body, "remove"), i, row) if (matches)
+      remove_entry (find_key (json_string_value (row)));
   json_decref (body);
-  reply_json (request, good ? 200 : 412,
+  reply_json (request, matches ? 200 : 412,
               json_pack ("{s:I}", "revision", (json_int_t)revision));
-  changed ();
+  answer_changed_watches ();
 }
 
 static void
-watch_limit (evutil_socket_t fd, short what, void *arg)
+on_watch_timeout (evutil_socket_t fd, short what, void *arg)
 {
   (void)fd;
   (void)what;
-  answer_watch (arg, true);
+  watch_reply (arg, true);
 }
 
 static void
@@ -262,16 +280,17 @@
 {
   struct watch *watch = mem_zalloc (sizeof *watch);
   long wait_ms = atol (evhttp_find_header (query, "wait_ms"));
-  struct timeval limit
+  struct timeval timeout
       = { .tv_sec = wait_ms / 1000, .tv_usec = wait_ms % 1000 * 1000 };
   watch->request = request;
-  watch->after = strtoull (evhttp_find_header (query, "after"), NULL, 10);
+  watch->after_revision
+      = strtoull (evhttp_find_header (query, "after"), NULL, 10);
   snprintf (watch->prefix, sizeof watch->prefix, "%s",
             evhttp_find_header (query, "prefix"));
-  watch->limit = evtimer_new (base, watch_limit, watch);
+  watch->timeout = evtimer_new (base, on_watch_timeout, watch);
   DL_APPEND (watches, watch);
-  if (!answer_watch (watch, false))
-    evtimer_add (watch->limit, &limit);
+  if (!watch_reply (watch, false))
+    evtimer_add (watch->timeout, &timeout);
 }
 
 static void
@@ -286,20 +305,21 @@
   if (strcmp (path, "/kv-range") == 0)
     reply_json (
         request, 200,
-        json_pack ("{s:o, s:b, s:I}", "items",
-                   collect (evhttp_find_header (&query, "prefix"), 0, false),
-                   "has_more", 0, "as_of", (json_int_t)revision));
+        json_pack (
+            "{s:o, s:b, s:I}", "items",
+            collect_entries (evhttp_find_header (&query, "prefix"), 0, false),
+            "has_more", 0, "as_of", (json_int_t)revision));
   else if (strcmp (path, "/kv-watch") == 0)
     on_watch (request, &query);
   else if (strcmp (path, "/kv-txn") == 0)
     on_txn (request);
   else if (strcmp (path, "/kv-key") == 0)
     {
-      const struct stored *item
+      const struct store_entry *entry
           = find_key (evhttp_find_header (&query, "key"));
-      bool stands = item != NULL && !item->removed;
-      reply_json (request, stands ? 200 : 404,
-                  stands ? item_json (item) : json_object ());
+      bool found = entry != NULL && !entry->removed;
+      reply_json (request, found ? 200 : 404,
+                  found ? entry_json (entry) : json_object ());
     }
   else if (strcmp (path, "/kv-lease") == 0)
     reply_json (request, 200,
@@ -308,9 +328,9 @@
     {
       for (size_t i = 0; i < key_count; i++)
         if (keys[i].lease == atoll (path + 14))
-          remove_stored (&keys[i]);
+          remove_entry (&keys[i]);
       reply_json (request, 200, json_object ());
-      changed ();
+      answer_changed_watches ();
     }
   else
     reply_json (request, 200, json_object ());
@@ -320,7 +340,7 @@
 /* Instances.  */
 
 static void
-put_ready (struct connection *connection)
+send_ready (struct connection *connection)
 {
   evbuffer_add_printf (bufferevent_get_output (connection->bev),
                        "READY %c %" PRIu64 ".%" PRIu64 "\r\n",
@@ -328,13 +348,13 @@
 }
 
 static bool
-leads (const struct connection *connection)
+is_leader (const struct connection *connection)
 {
   return connection->instance == &instances[leader];
 }
 
 static void
-put_error (struct connection *connection, const char *code)
+send_error (struct connection *connection, const char *code)
 {
   if (connection->state == 'T')
     connection->state = 'E';
@@ -350,9 +370,9 @@
   char data[64];
   bool writes = sscanf (text, "WRITE %u %63s", &item, data) == 2;
   bool reads = sscanf (text, "READ %u", &item) == 1;
-  bool needs_lead = writes || strcmp (text, "BEGIN") == 0;
-  if (needs_lead && !leads (connection))
-    put_error (connection, "READONLY");
+  bool needs_leader = writes || strcmp (text, "BEGIN") == 0;
+  if (needs_leader && !is_leader (connection))
+    send_error (connection, "READONLY");
   else
     {
       if (strncmp (text, "BEGIN", 5) == 0)
@@ -367,18 +387,18 @@
                || strncmp (text, "STEPDOWN", 8) == 0)
         evbuffer_add_printf (
             out, "ROW %s %" PRIu64 " %" PRIu64 ".%" PRIu64 " 0 0 0 1\r\n",
-            leads (connection) && text[2] == 'A' ? "primary" : "replica", term,
-            term, number);
+            is_leader (connection) && text[2] == 'A' ? "primary" : "replica",
+            term, term, number);
       if (writes)
         number++;
       evbuffer_add_printf (out, "COMPLETE %s.%s\r\n", connection->instance->id,
                            id);
     }
-  put_ready (connection);
+  send_ready (connection);
 }
 
 static void
-connection_free (struct connection *connection)
+connection_close (struct connection *connection)
 {
   DL_DELETE (connections, connection);
   bufferevent_free (connection->bev);
@@ -386,15 +406,15 @@
 }
 
 static void
-take_line (struct connection *connection, const char *line)
+handle_line (struct connection *connection, const char *line)
 {
   char id[128];
-  int at = 0;
+  int offset = 0;
   if (strncmp (line, "STARTUP " GROUP " ", sizeof GROUP + 8) == 0)
-    put_ready (connection);
-  else if (sscanf (line, "QUERY %127s %n", id, &at) == 1 && at > 0)
+    send_ready (connection);
+  else if (sscanf (line, "QUERY %127s %n", id, &offset) == 1 && offset > 0)
     {
-      const char *text = line + at;
+      const char *text = line + offset;
       if (strncmp (text, "AFTER ", 6) == 0)
         text = strchr (text + 6, ' ') + 1;
       run_statement (connection, id, text);
@@ -409,7 +429,7 @@
                                   EVBUFFER_EOL_CRLF_STRICT))
          != NULL)
     {
-      take_line (arg, line);
+      handle_line (arg, line);
       free (line);
     }
 }
@@ -419,7 +439,7 @@
 {
   (void)bev;
   (void)what;
-  connection_free (arg);
+  connection_close (arg);
 }
 
 static void
@@ -454,7 +474,7 @@
 }
 
 static void
-crash (struct instance *instance)
+crash_instance (struct instance *instance)
 {
   struct connection *connection, *next;
   evconnlistener_free (instance->listener);
@@ -463,43 +483,43 @@
   DL_FOREACH_SAFE (connections, connection, next)
   {
     if (connection->instance == instance)
-      connection_free (connection);
+      connection_close (connection);
   }
 }
 
 /* Promotion and control.  */
 
 static void
-take_lead (evutil_socket_t fd, short what, void *arg)
+on_promotion_due (evutil_socket_t fd, short what, void *arg)
 {
   (void)fd;
   (void)what;
   (void)arg;
-  leader = promoted;
+  leader = promotion_target;
   term++;
-  publish ();
+  publish_instances ();
 }
 
 static void
 on_promote (struct evhttp_request *request, void *arg)
 {
-  struct timeval span = { .tv_usec = PROMOTE_US };
+  struct timeval delay = { .tv_usec = PROMOTION_DELAY_US };
   json_t *body = read_body (request);
   const char *id = json_string_value (json_object_get (body, "id"));
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
-  bool good = id != NULL && strlen (id) == 3
-              && evhttp_find_header (headers, "X-Fencing-Token") != NULL
-              && evhttp_find_header (headers, "X-Lease-Holder") != NULL;
+  bool accepted = id != NULL && strlen (id) == 3
+                  && evhttp_find_header (headers, "X-Fencing-Token") != NULL
+                  && evhttp_find_header (headers, "X-Lease-Holder") != NULL;
   (void)arg;
-  size_t chosen = good ? (size_t)(id[2] - '0') % INSTANCES : 0;
-  good = good && !instances[chosen].crashed;
+  size_t candidate = accepted ? (size_t)(id[2] - '0') % INSTANCES : 0;
+  accepted = accepted && !instances[candidate].crashed;
   json_decref (body);
-  if (good && chosen != leader)
+  if (accepted && candidate != leader)
     {
-      promoted = chosen;
-      event_base_once (base, -1, EV_TIMEOUT, take_lead, NULL, &span);
+      promotion_target = candidate;
+      event_base_once (base, -1, EV_TIMEOUT, on_promotion_due, NULL, &delay);
     }
-  reply_json (request, good ? 200 : 409, json_object ());
+  reply_json (request, accepted ? 200 : 409, json_object ());
 }
 
 static int
@@ -520,7 +540,7 @@
     return HTTP_BADREQUEST;
   struct instance *instance = &instances[index];
   if (strcmp (kind, "crash") == 0 && !instance->crashed)
-    crash (instance);
+    crash_instance (instance);
   else if (strcmp (kind, "back") == 0 && instance->crashed)
     {
       instance->crashed = false;
@@ -529,7 +549,7 @@
   else if (strcmp (kind, "drain") == 0)
     {
       instance->draining = true;
-      publish ();
+      publish_instances ();
     }
   else
     return HTTP_BADREQUEST;
@@ -537,7 +557,7 @@
 }
 
 static uint16_t
-serve_http (struct evhttp *http,
+start_http (struct evhttp *http,
             void (*answer) (struct evhttp_request *, void *))
 {
   struct evhttp_bound_socket *bound
@@ -568,9 +588,9 @@
             "\",\"max_staleness_ms\":2000}],\"services\":[{\"name\":\"" GROUP
             "\",\"max_conns\":40,\"sync_replicas\":0}],\"limits\":{"
             "\"tx_idle_ms\":3000}}");
-  publish ();
-  printf ("store=%u promote=%u control=%u\n", serve_http (store, on_store),
-          serve_http (promote, on_promote), control);
+  publish_instances ();
+  printf ("store=%u promote=%u control=%u\n", start_http (store, on_store),
+          start_http (promote, on_promote), control);
   fflush (stdout);
   standin_run (base);
   evhttp_free (controls);
--- a/tests/standin/pg_exec.c
+++ b/tests/standin/pg_exec.c
@@ -9,9 +9,10 @@
 #define TYPE_TEXT 25
 #define FIELD_LIMIT 8
 
-/* Returns false if another session holds the row that S names.  */
+/* Locks the row of the statement of S.  Returns false if another session has
+   locked it.  */
 static bool
-lock_take (struct session *s)
+lock_acquire (struct session *s)
 {
   for (struct session *o = s->instance->sessions; o != NULL; o = o->next)
     if (rows_find (o->locks, s->key) != NULL)
@@ -20,7 +21,8 @@
   return true;
 }
 
-/* Value of the row that S names; NULL if there is none.  */
+/* Returns the value of the row of the statement of S, as its transaction sees
+   it; NULL if there is none.  */
 static const char *
 value_get (struct session *s)
 {
@@ -57,16 +59,16 @@
 }
 
 static enum exec_result
-fail (struct session *s, const char *sqlstate)
+fail_statement (struct session *s, const char *sqlstate)
 {
   session_error (s, sqlstate, "refused by the stand-in");
   return EXEC_DONE;
 }
 
-/* Answers one row of fields that line ends separate, "-" is NULL; TEXT NULL
-   is no row.  Frees TEXT.  */
+/* Sends a result of one row.  TEXT has the fields separated by line feeds, "-"
+   for SQL NULL; TEXT NULL sends no row.  Frees TEXT.  */
 static enum exec_result
-answer (struct session *s, const char *name, uint32_t type, char *text)
+send_one_row (struct session *s, const char *name, uint32_t type, char *text)
 {
   const char *values[FIELD_LIMIT] = { NULL };
   char *rest = text;
@@ -85,16 +87,16 @@
 }
 
 static const char *
-param (const struct session *s, size_t index)
+param_text (const struct session *s, size_t index)
 {
   bool given = index < s->param_count && s->params[index] != NULL;
   return given ? s->params[index] : "";
 }
 
 static int64_t
-number (const struct session *s, size_t index)
+param_number (const struct session *s, size_t index)
 {
-  return strtoll (param (s, index), NULL, 10);
+  return strtoll (param_text (s, index), NULL, 10);
 }
 
 static bool
@@ -104,7 +106,8 @@
   return instance->primary && !instance->active.read_only && !s->read_only;
 }
 
-/* The proxy's own statements, by the name in their comment.  */
+/* Statements of the proxy itself, identified by the comment that they start
+   with.  */
 
 static enum exec_result
 run_begin (struct session *s)
@@ -152,23 +155,23 @@
                            (unsigned long long)instance_lsn (i, i->replayed),
                            (unsigned long long)i->confirmed_lsn,
                            (long long)instance_lag_ms (i));
-  return answer (s, "status", 0, text);
+  return send_one_row (s, "status", 0, text);
 }
 
 static enum exec_result
 run_require_term (struct session *s)
 {
   const struct settings *active = &s->instance->active;
-  uint64_t required = (uint64_t)number (s, 0);
-  bool right = writable (s) && active->sealed_term <= active->log_term
-               && (required == 0 || required == active->log_term);
-  return right ? EXEC_DONE : fail (s, "SVT01");
+  uint64_t required = (uint64_t)param_number (s, 0);
+  bool matches = writable (s) && active->sealed_term <= active->log_term
+                 && (required == 0 || required == active->log_term);
+  return matches ? EXEC_DONE : fail_statement (s, "SVT01");
 }
 
 static enum exec_result
-run_run_limit (struct session *s)
+run_set_timeout (struct session *s)
 {
-  s->run_limit_ms = number (s, 0);
+  s->statement_timeout_ms = param_number (s, 0);
   return EXEC_DONE;
 }
 
@@ -177,20 +180,21 @@
 {
   uint64_t visible = instance_lsn (s->instance, s->instance->replayed);
   s->read_only = true;
-  return visible < (uint64_t)number (s, 0) ? fail (s, "SVR01") : EXEC_DONE;
+  return visible < (uint64_t)param_number (s, 0) ? fail_statement (s, "SVR01")
+                                                 : EXEC_DONE;
 }
 
 static enum exec_result
 run_answer (struct session *s)
 {
-  rows_set (&s->changes, s->key, param (s, 1));
+  rows_set (&s->changes, s->key, param_text (s, 1));
   return EXEC_DONE;
 }
 
 static enum exec_result
 run_claim (struct session *s)
 {
-  return value_get (s) != NULL ? fail (s, "23505") : run_answer (s);
+  return value_get (s) != NULL ? fail_statement (s, "23505") : run_answer (s);
 }
 
 static enum exec_result
@@ -200,24 +204,25 @@
   return EXEC_DONE;
 }
 
-/* The answer to a request id, or the number of a key.  */
+/* Reads the stored answer of a request id from "ledger", or the number of a
+   key from "kv".  */
 static enum exec_result
 run_get (struct session *s)
 {
-  return answer (s, "v", TYPE_INT8, mem_strdup (value_get (s)));
+  return send_one_row (s, "v", TYPE_INT8, mem_strdup (value_get (s)));
 }
 
 static enum exec_result
 run_purge (struct session *s)
 {
   struct row *row, *next;
-  clk_ms before = group_now () - number (s, 0);
+  clk_ms before = group_now_ms () - param_number (s, 0);
   HASH_ITER (hh, s->instance->rows, row, next)
-  if (strncmp (row->key, "ledger/", 7) == 0 && row->at_ms < before)
+  if (strncmp (row->key, "ledger/", 7) == 0 && row->committed_at_ms < before)
     rows_set (&s->changes, row->key, NULL);
-  char *tag = mem_printf ("DELETE %u", HASH_COUNT (s->changes));
-  session_complete (s, tag);
-  free (tag);
+  char *command_tag = mem_printf ("DELETE %u", HASH_COUNT (s->changes));
+  session_complete (s, command_tag);
+  free (command_tag);
   return EXEC_DONE;
 }
 
@@ -261,7 +266,7 @@
           = name == NULL ? 0 : strtoull (name + 10, NULL, 10);
     }
   else
-    return fail (s, "42704");
+    return fail_statement (s, "42704");
   return EXEC_DONE;
 }
 
@@ -276,7 +281,7 @@
 run_promote (struct session *s)
 {
   if (s->instance->primary)
-    return fail (s, "55000");
+    return fail_statement (s, "55000");
   instance_promote (s->instance);
   return EXEC_DONE;
 }
@@ -284,7 +289,7 @@
 static enum exec_result
 run_kick (struct session *s)
 {
-  sessions_old (s, true);
+  sessions_before_reload (s, true);
   return EXEC_DONE;
 }
 
@@ -295,20 +300,20 @@
   bool stream = instance_receiving (instance);
   char *text
       = mem_printf ("%s\n%zu\n%s\n%s\n%u", instance->primary ? "f" : "t",
-                    sessions_old (s, false), stream ? "t" : "f",
+                    sessions_before_reload (s, false), stream ? "t" : "f",
                     stream ? "127.0.0.1" : "-", instance->active.primary_port);
-  return answer (s, "busy", 0, text);
+  return send_one_row (s, "busy", 0, text);
 }
 
 static enum exec_result
 run_rejoin (struct session *s)
 {
-  bool done = instance_rejoin (s->instance, (uint64_t)number (s, 0),
-                               (uint16_t)number (s, 2));
-  return done ? EXEC_DONE : fail (s, "55000");
+  bool done = instance_rejoin (s->instance, (uint64_t)param_number (s, 0),
+                               (uint16_t)param_number (s, 2));
+  return done ? EXEC_DONE : fail_statement (s, "55000");
 }
 
-/* Callers' statements, by how they start.  */
+/* Statements of callers, identified by their first words.  */
 
 static enum exec_result
 run_count (struct session *s)
@@ -317,29 +322,30 @@
   struct row *row, *next;
   HASH_ITER (hh, s->instance->rows, row, next)
   count += strncmp (row->key, "kv/", 3) == 0;
-  return answer (s, "count", TYPE_INT8, mem_printf ("%u", count));
+  return send_one_row (s, "count", TYPE_INT8, mem_printf ("%u", count));
 }
 
 static enum exec_result
 run_series (struct session *s)
 {
   session_columns (s, 1, "generate_series", TYPE_INT8);
-  for (int64_t i = 1; i <= number (s, 0); i++)
+  for (int64_t i = 1; i <= param_number (s, 0); i++)
     {
       char *text = mem_printf ("%lld", (long long)i);
       session_row (s, 1, (const char *const *)&text);
       free (text);
     }
-  char *tag = mem_printf ("SELECT %lld", (long long)number (s, 0));
-  session_complete (s, tag);
-  free (tag);
+  char *command_tag
+      = mem_printf ("SELECT %lld", (long long)param_number (s, 0));
+  session_complete (s, command_tag);
+  free (command_tag);
   return EXEC_DONE;
 }
 
 static enum exec_result
 run_divide (struct session *s)
 {
-  return fail (s, "22012");
+  return fail_statement (s, "22012");
 }
 
 /* INSERT and UPDATE on kv; $1 is the key, $2 a number.  */
@@ -350,13 +356,13 @@
   bool insert = strncmp (s->statement, "INSERT", 6) == 0;
   bool add = old != NULL && strstr (s->statement, "v + ") != NULL;
   if (insert && old != NULL && strstr (s->statement, "ON CONFLICT") == NULL)
-    return fail (s, "23505");
+    return fail_statement (s, "23505");
   if (!insert && old == NULL)
     {
       session_complete (s, "UPDATE 0");
       return EXEC_DONE;
     }
-  int64_t value = number (s, 1) + (add ? strtoll (old, NULL, 10) : 0);
+  int64_t value = param_number (s, 1) + (add ? strtoll (old, NULL, 10) : 0);
   char *text = mem_printf ("%lld", (long long)value);
   const char *const row = text;
   rows_set (&s->changes, s->key, text);
@@ -372,52 +378,52 @@
 
 enum flag
 {
-  VOID = 1,   /* answers one row without a value of interest */
-  SLOT = 2,   /* occupies one while it runs */
-  WRITES = 4, /* takes a lock on its row, if it names one */
-  ENDS = 8    /* also in a failed transaction */
+  RETURNS_VOID = 1,  /* sends one row with an empty value */
+  USES_SLOT = 2,     /* occupies a slot of the instance while it runs */
+  WRITES = 4,        /* needs a writable session; locks its row, if any */
+  RUNS_IF_FAILED = 8 /* is allowed in a failed transaction */
 };
 
 struct statement
 {
-  const char *start;
-  enum exec_result (*run) (struct session *s); /* NULL does nothing */
+  const char *prefix;
+  enum exec_result (*run) (struct session *s); /* NULL only takes time */
   unsigned flags;
-  const char *table; /* that the row named by $1 is in */
-  const char *tag;   /* NULL: RUN completes it */
+  const char *table; /* table of the row with the key $1, NULL for none */
+  const char *command_tag; /* NULL if RUN sends the completion */
 };
 
-#define TAG "/*savoryway:"
+#define PROXY_TAG "/*savoryway:"
 
 static const struct statement statements[] = {
-  { TAG "status", run_status, 0, NULL, NULL },
-  { TAG "begin_read", run_begin_read, VOID, NULL, NULL },
-  { TAG "begin", run_begin, 0, NULL, "BEGIN" },
-  { TAG "commit", run_commit, ENDS, NULL, NULL },
-  { TAG "rollback", run_rollback, ENDS, NULL, NULL },
-  { TAG "reset", run_reset, 0, NULL, "DISCARD ALL" },
-  { TAG "require_term", run_require_term, VOID, NULL, NULL },
-  { TAG "run_limit", run_run_limit, VOID, NULL, NULL },
-  { TAG "claim", run_claim, WRITES, "ledger", "INSERT 0 1" },
-  { TAG "answer", run_answer, 0, "ledger", "UPDATE 1" },
-  { TAG "probe", run_probe, WRITES, "ledger", NULL },
-  { TAG "find", run_get, 0, "ledger", NULL },
-  { TAG "purge", run_purge, WRITES, NULL, NULL },
-  { TAG "lock", run_lock, VOID, NULL, NULL },
-  { TAG "unlock", run_unlock, VOID, NULL, NULL },
-  { TAG "set", run_set, 0, NULL, "ALTER SYSTEM" },
-  { TAG "reload", run_reload, VOID, NULL, NULL },
-  { TAG "promote", run_promote, VOID, NULL, NULL },
-  { TAG "kick", run_kick, VOID, NULL, NULL },
-  { TAG "busy", run_busy, 0, NULL, NULL },
-  { TAG "rejoin", run_rejoin, VOID, NULL, NULL },
-  { "SELECT v FROM kv", run_get, SLOT, "kv", NULL },
-  { "SELECT count", run_count, SLOT, NULL, NULL },
-  { "SELECT pg_sleep", NULL, VOID | SLOT, NULL, NULL },
-  { "SELECT * FROM generate_series", run_series, SLOT, NULL, NULL },
-  { "SELECT 1/0", run_divide, SLOT, NULL, NULL },
-  { "INSERT INTO kv", run_put, SLOT | WRITES, "kv", NULL },
-  { "UPDATE kv", run_put, SLOT | WRITES, "kv", NULL },
+  { PROXY_TAG "status", run_status, 0, NULL, NULL },
+  { PROXY_TAG "begin_read", run_begin_read, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "begin", run_begin, 0, NULL, "BEGIN" },
+  { PROXY_TAG "commit", run_commit, RUNS_IF_FAILED, NULL, NULL },
+  { PROXY_TAG "rollback", run_rollback, RUNS_IF_FAILED, NULL, NULL },
+  { PROXY_TAG "reset", run_reset, 0, NULL, "DISCARD ALL" },
+  { PROXY_TAG "require_term", run_require_term, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "run_limit", run_set_timeout, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "claim", run_claim, WRITES, "ledger", "INSERT 0 1" },
+  { PROXY_TAG "answer", run_answer, 0, "ledger", "UPDATE 1" },
+  { PROXY_TAG "probe", run_probe, WRITES, "ledger", NULL },
+  { PROXY_TAG "find", run_get, 0, "ledger", NULL },
+  { PROXY_TAG "purge", run_purge, WRITES, NULL, NULL },
+  { PROXY_TAG "lock", run_lock, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "unlock", run_unlock, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "set", run_set, 0, NULL, "ALTER SYSTEM" },
+  { PROXY_TAG "reload", run_reload, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "promote", run_promote, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "kick", run_kick, RETURNS_VOID, NULL, NULL },
+  { PROXY_TAG "busy", run_busy, 0, NULL, NULL },
+  { PROXY_TAG "rejoin", run_rejoin, RETURNS_VOID, NULL, NULL },
+  { "SELECT v FROM kv", run_get, USES_SLOT, "kv", NULL },
+  { "SELECT count", run_count, USES_SLOT, NULL, NULL },
+  { "SELECT pg_sleep", NULL, RETURNS_VOID | USES_SLOT, NULL, NULL },
+  { "SELECT * FROM generate_series", run_series, USES_SLOT, NULL, NULL },
+  { "SELECT 1/0", run_divide, USES_SLOT, NULL, NULL },
+  { "INSERT INTO kv", run_put, USES_SLOT | WRITES, "kv", NULL },
+  { "UPDATE kv", run_put, USES_SLOT | WRITES, "kv", NULL },
 };
 
 static const struct statement *
@@ -425,7 +431,8 @@
 {
   const char *sql = s->statement == NULL ? "" : s->statement;
   for (size_t i = 0; i < sizeof statements / sizeof statements[0]; i++)
-    if (strncmp (sql, statements[i].start, strlen (statements[i].start)) == 0)
+    if (strncmp (sql, statements[i].prefix, strlen (statements[i].prefix))
+        == 0)
       return &statements[i];
   return NULL;
 }
@@ -434,35 +441,36 @@
 exec_cost_ms (struct session *s)
 {
   const struct statement *statement = find_statement (s);
-  if (statement == NULL || !(statement->flags & SLOT))
+  if (statement == NULL || !(statement->flags & USES_SLOT))
     return -1;
   bool sleeps = statement->run == NULL;
   return s->instance->cost_ms
-         + (sleeps ? (clk_ms)(strtod (param (s, 0), NULL) * 1000) : 0);
+         + (sleeps ? (clk_ms)(strtod (param_text (s, 0), NULL) * 1000) : 0);
 }
 
 enum exec_result
 exec_run (struct session *s)
 {
   const struct statement *statement = find_statement (s);
-  if (s->failed && (statement == NULL || !(statement->flags & ENDS)))
-    return fail (s, "25P02");
+  if (s->failed && (statement == NULL || !(statement->flags & RUNS_IF_FAILED)))
+    return fail_statement (s, "25P02");
   if (statement == NULL)
-    return fail (s, "42601");
+    return fail_statement (s, "42601");
   if (statement->table != NULL)
-    snprintf (s->key, sizeof s->key, "%s/%s", statement->table, param (s, 0));
+    snprintf (s->key, sizeof s->key, "%s/%s", statement->table,
+              param_text (s, 0));
   if ((statement->flags & WRITES) && !writable (s))
-    return fail (s, "25006");
+    return fail_statement (s, "25006");
   if ((statement->flags & WRITES) && statement->table != NULL
-      && !lock_take (s))
+      && !lock_acquire (s))
     return EXEC_LOCKED;
   enum exec_result result
       = statement->run == NULL ? EXEC_DONE : statement->run (s);
   if (result != EXEC_DONE || s->failed)
     return result;
-  if (statement->flags & VOID)
-    return answer (s, "void", TYPE_TEXT, mem_strdup (""));
-  if (statement->tag != NULL)
-    session_complete (s, statement->tag);
+  if (statement->flags & RETURNS_VOID)
+    return send_one_row (s, "void", TYPE_TEXT, mem_strdup (""));
+  if (statement->command_tag != NULL)
+    session_complete (s, statement->command_tag);
   return EXEC_DONE;
 }
--- a/tests/standin/pg_group.c
+++ b/tests/standin/pg_group.c
@@ -6,10 +6,11 @@
 
 #include "kernel/mem.h"
 
-#define STREAM_MS 1
+/* Delay from a commit until the replicas receive it.  */
+#define STREAM_DELAY_MS 1
 
 clk_ms
-group_now (void)
+group_now_ms (void)
 {
   struct timespec now;
   clock_gettime (CLOCK_MONOTONIC, &now);
@@ -17,7 +18,7 @@
 }
 
 void
-timer_arm (struct event *event, clk_ms delay_ms)
+timer_start (struct event *event, clk_ms delay_ms)
 {
   struct timeval tv
       = { .tv_sec = delay_ms / 1000, .tv_usec = delay_ms % 1000 * 1000 };
@@ -39,7 +40,7 @@
 }
 
 static void
-rows_drop (struct row **rows, struct row *row)
+rows_remove (struct row **rows, struct row *row)
 {
   HASH_DEL (*rows, row);
   free (row->key);
@@ -51,7 +52,7 @@
 rows_clear (struct row **rows)
 {
   while (*rows != NULL)
-    rows_drop (rows, *rows);
+    rows_remove (rows, *rows);
 }
 
 struct row *
@@ -63,7 +64,7 @@
   row->key = mem_strdup (key);
   row->value = mem_strdup (value);
   if (old != NULL)
-    rows_drop (rows, old);
+    rows_remove (rows, old);
   HASH_ADD_KEYPTR (hh, *rows, row->key, strlen (row->key), row);
   return row;
 }
@@ -79,13 +80,15 @@
         {
           struct row *row
               = rows_set (&instance->rows, change->key, change->value);
-          row->at_ms = record->at_ms;
+          row->committed_at_ms = record->committed_at_ms;
           if (row->value == NULL)
-            rows_drop (&instance->rows, row);
+            rows_remove (&instance->rows, row);
         }
     }
 }
 
+/* Truncates the log to COUNT records.  Rows can't be undone, so they are
+   rebuilt from the start of the log.  */
 static void
 truncate_log (struct instance *instance, size_t count)
 {
@@ -98,7 +101,7 @@
 }
 
 static void
-append (struct instance *instance, struct record *record)
+append_record (struct instance *instance, struct record *record)
 {
   size_t count = instance->received + 1;
   instance->log = mem_resize (instance->log, count * sizeof *instance->log);
@@ -112,9 +115,9 @@
   return !instance->down && !instance->frozen && !instance->isolated;
 }
 
-/* The instance at PORT if INSTANCE can reach it, or NULL.  */
+/* Returns the instance at PORT, NULL if INSTANCE can't reach it.  */
 static struct instance *
-by_port (const struct instance *instance, uint16_t port)
+reachable_instance_at (const struct instance *instance, uint16_t port)
 {
   struct instance *all = instance->group->instances;
   for (uint32_t i = 0; i < INSTANCES; i++)
@@ -124,16 +127,18 @@
   return NULL;
 }
 
-/* The instance whose log INSTANCE can take now, or NULL.  */
+/* Returns the instance that INSTANCE can replicate from at present: reachable,
+   and with a log that extends its own.  Returns NULL if there is none.  */
 static struct instance *
 upstream (const struct instance *instance)
 {
-  struct instance *from = by_port (instance, instance->active.primary_port);
+  struct instance *source
+      = reachable_instance_at (instance, instance->active.primary_port);
   size_t count = instance->received;
-  if (instance->primary || from == NULL || from->received < count
-      || (count > 0 && from->log[count - 1] != instance->log[count - 1]))
+  if (instance->primary || source == NULL || source->received < count
+      || (count > 0 && source->log[count - 1] != instance->log[count - 1]))
     return NULL;
-  return from;
+  return source;
 }
 
 bool
@@ -148,53 +153,59 @@
   if (instance->primary)
     return 0;
   if (instance->replayed < instance->received)
-    return group_now () - instance->log[instance->replayed]->at_ms;
+    return group_now_ms ()
+           - instance->log[instance->replayed]->committed_at_ms;
   return instance_receiving (instance)
              ? 0
-             : group_now () - instance->contact_at_ms;
+             : group_now_ms () - instance->last_connected_ms;
 }
 
+/* Records the time for each instance whose replication is up.  To be called
+   before any change that may interrupt it.  */
 static void
-note_contact (struct group *group)
+update_last_connected (struct group *group)
 {
   for (uint32_t i = 0; i < INSTANCES; i++)
     if (instance_receiving (&group->instances[i]))
-      group->instances[i].contact_at_ms = group_now ();
+      group->instances[i].last_connected_ms = group_now_ms ();
 }
 
 static void
-arm_all (struct group *group)
+start_all_timers (struct group *group)
 {
   for (uint32_t i = 0; i < INSTANCES; i++)
-    timer_arm (group->instances[i].timer, STREAM_MS);
+    timer_start (group->instances[i].timer, STREAM_DELAY_MS);
 }
 
-/* Takes log from upstream and replays what is due.  */
+/* Receives log from upstream, acknowledges it, and replays the records that
+   are older than the lag of the group.  */
 static void
 on_timer (evutil_socket_t fd, short events, void *arg)
 {
   (void)fd;
   (void)events;
   struct instance *instance = arg;
-  struct instance *from = upstream (instance);
+  struct instance *source = upstream (instance);
   size_t received = instance->received;
   if (instance->down || instance->frozen)
     return;
-  while (from != NULL && instance->received < from->received)
-    append (instance, from->log[instance->received]);
+  while (source != NULL && instance->received < source->received)
+    append_record (instance, source->log[instance->received]);
   uint64_t lsn = instance_lsn (instance, instance->received);
-  if (from != NULL && lsn > from->confirmed_lsn
-      && instance->active.confirming_term == from->active.log_term)
-    from->confirmed_lsn = lsn;
-  clk_ms seen_ms = group_now () - instance->group->lag_ms;
+  if (source != NULL && lsn > source->confirmed_lsn
+      && instance->active.confirming_term == source->active.log_term)
+    source->confirmed_lsn = lsn;
+  clk_ms replay_until_ms = group_now_ms () - instance->group->lag_ms;
   while (instance->replayed < instance->received
-         && instance->log[instance->replayed]->at_ms <= seen_ms)
+         && instance->log[instance->replayed]->committed_at_ms
+                <= replay_until_ms)
     replay_to (instance, instance->replayed + 1);
   if (received < instance->received)
-    arm_all (instance->group);
+    start_all_timers (instance->group);
   else if (instance->replayed < instance->received)
-    timer_arm (instance->timer,
-               instance->log[instance->replayed]->at_ms - seen_ms);
+    timer_start (instance->timer,
+                 instance->log[instance->replayed]->committed_at_ms
+                     - replay_until_ms);
 }
 
 void
@@ -205,23 +216,23 @@
   group->rng = group->rng * 6364136223846793005U + 1442695040888963407U;
   record->lsn
       = instance_lsn (instance, instance->received) + 1 + (group->rng >> 60);
-  record->at_ms = group_now ();
+  record->committed_at_ms = group_now_ms ();
   record->changes = changes;
   record->next = group->records;
   group->records = record;
-  append (instance, record);
+  append_record (instance, record);
   replay_to (instance, instance->received);
   instance->commits++;
-  arm_all (group);
+  start_all_timers (group);
 }
 
 void
 instance_reload (struct instance *instance)
 {
-  note_contact (instance->group);
+  update_last_connected (instance->group);
   instance->active = instance->staged;
-  instance->reloads++;
-  timer_arm (instance->timer, STREAM_MS);
+  instance->reload_count++;
+  timer_start (instance->timer, STREAM_DELAY_MS);
 }
 
 void
@@ -235,18 +246,18 @@
 bool
 instance_rejoin (struct instance *instance, uint64_t term, uint16_t port)
 {
-  struct instance *from = by_port (instance, port);
+  struct instance *source = reachable_instance_at (instance, port);
   size_t count = 0;
-  if (from == NULL || from->active.log_term < term)
+  if (source == NULL || source->active.log_term < term)
     return false;
-  while (count < instance->received && count < from->received
-         && instance->log[count] == from->log[count])
+  while (count < instance->received && count < source->received
+         && instance->log[count] == source->log[count])
     count++;
   truncate_log (instance, count);
   instance->primary = false;
   instance->staged.read_only = false;
-  instance->staged.log_term = from->active.log_term;
-  instance->staged.confirming_term = from->active.log_term;
+  instance->staged.log_term = source->active.log_term;
+  instance->staged.confirming_term = source->active.log_term;
   instance->staged.primary_port = port;
   instance_reload (instance);
   return true;
@@ -351,7 +362,7 @@
 bool
 instance_fault (struct instance *instance, const char *kind, int64_t value)
 {
-  note_contact (instance->group);
+  update_last_connected (instance->group);
   if (strcmp (kind, "isolate") == 0)
     instance->isolated = true;
   else if (strcmp (kind, "freeze") == 0)
@@ -370,7 +381,7 @@
     return false;
   if (instance->frozen && instance->listener != NULL)
     evconnlistener_disable (instance->listener);
-  arm_all (instance->group);
+  start_all_timers (instance->group);
   return true;
 }
 
@@ -386,7 +397,7 @@
           "%s{\"name\": \"%s\", \"commits\": %llu, \"statements\": %llu, "
           "\"slots_busy\": %u}%s",
           start, instance->name, (unsigned long long)instance->commits,
-          (unsigned long long)instance->statements, instance->slots_busy,
+          (unsigned long long)instance->statements, instance->slots_in_use,
           i + 1 < INSTANCES ? ", " : "]}");
       free (start);
     }
--- a/tests/standin/pg_wire.c
+++ b/tests/standin/pg_wire.c
@@ -13,11 +13,11 @@
 #define PROTOCOL_3 196608
 #define MESSAGE_LIMIT_BYTES (16 << 20)
 #define LOCK_RETRY_MS 1
-#define LOCK_TIMEOUT_MS 1000
+#define LOCK_TIMEOUT_MS 1000 /* then the statement fails */
 
-static void session_run (struct session *session);
+static void session_process (struct session *session);
 
-/* Output: messages are built in an evbuffer and sent whole.  */
+/* Output.  Each message is built in an evbuffer and sent whole.  */
 
 static void
 send_message (struct session *session, char type, struct evbuffer *body)
@@ -109,7 +109,7 @@
   send_bytes (session, 'Z', &state, 1);
 }
 
-/* Life of a session.  */
+/* Sessions and slots.  */
 
 static void
 clear_statement (struct session *session)
@@ -128,26 +128,28 @@
   rows_clear (&session->locks);
   session->in_transaction = false;
   session->read_only = false;
-  session->run_limit_ms = 0;
+  session->statement_timeout_ms = 0;
   session->failed = false;
 }
 
-/* How long the statement of SESSION runs, until it ends or is cancelled.  */
+/* Returns how long the statement of SESSION occupies its slot, until it ends
+   or is cancelled by its timeout.  */
 static clk_ms
-run_ms (struct session *session)
+slot_time_ms (struct session *session)
 {
   clk_ms cost_ms = exec_cost_ms (session);
-  clk_ms left_ms = session->cancel_at_ms - group_now ();
+  clk_ms left_ms = session->cancel_at_ms - group_now_ms ();
   if (session->cancel_at_ms == 0 || cost_ms <= left_ms)
     return cost_ms;
   session->cancelled = true;
   return left_ms > 0 ? left_ms : 0;
 }
 
+/* Gives free slots to waiting sessions in the order of their arrival.  */
 static void
-slot_grant (struct instance *instance)
+grant_slots (struct instance *instance)
 {
-  while (instance->slots_busy < instance->group->slots)
+  while (instance->slots_in_use < instance->group->slots)
     {
       struct session *first = NULL;
       for (struct session *s = instance->sessions; s != NULL; s = s->next)
@@ -158,19 +160,19 @@
         return;
       first->wait_seq = 0;
       first->has_slot = true;
-      instance->slots_busy++;
-      timer_arm (first->timer, run_ms (first));
+      instance->slots_in_use++;
+      timer_start (first->timer, slot_time_ms (first));
     }
 }
 
 static void
-slot_release (struct session *session)
+release_slot (struct session *session)
 {
   if (!session->has_slot)
     return;
   session->has_slot = false;
-  session->instance->slots_busy--;
-  slot_grant (session->instance);
+  session->instance->slots_in_use--;
+  grant_slots (session->instance);
 }
 
 static void
@@ -178,7 +180,7 @@
 {
   struct instance *instance = session->instance;
   session->wait_seq = 0;
-  slot_release (session);
+  release_slot (session);
   session_rollback (session);
   rows_clear (&session->prepared);
   clear_statement (session);
@@ -186,7 +188,7 @@
   if (instance->role_lock == session)
     instance->role_lock = NULL;
   if (session->counted)
-    instance->open--;
+    instance->open_connections--;
   event_free (session->timer);
   bufferevent_free (session->bev);
   free (session);
@@ -200,16 +202,17 @@
 }
 
 size_t
-sessions_old (const struct session *keep, bool end)
+sessions_before_reload (const struct session *keep, bool close)
 {
   size_t count = 0;
   struct session *s, *next;
   DL_FOREACH_SAFE (keep->instance->sessions, s, next)
   {
-    if (s == keep || !s->started || s->reloads == s->instance->reloads)
+    if (s == keep || !s->started
+        || s->reload_count == s->instance->reload_count)
       continue;
     count++;
-    if (end)
+    if (close)
       session_free (s);
   }
   return count;
@@ -223,11 +226,11 @@
     {
       next = s->next;
       if (!s->busy)
-        session_run (s);
+        session_process (s);
       else if (s->wait_seq == 0 && !evtimer_pending (s->timer, NULL))
         event_active (s->timer, EV_TIMEOUT, 0);
     }
-  slot_grant (instance);
+  grant_slots (instance);
 }
 
 /* Statements.  */
@@ -237,22 +240,22 @@
 {
   session->busy = false;
   session->lock_deadline_ms = 0;
-  slot_release (session);
+  release_slot (session);
   clear_statement (session);
 }
 
-/* Runs the statement, again later if it waits for a lock.  */
+/* Runs the statement, and retries it later if its row is locked.  */
 static void
-statement_try (struct session *session)
+statement_run (struct session *session)
 {
   enum exec_result result = exec_run (session);
-  clk_ms now = group_now ();
+  clk_ms now = group_now_ms ();
   if (result == EXEC_LOCKED && session->lock_deadline_ms == 0)
     session->lock_deadline_ms = now + LOCK_TIMEOUT_MS;
   if (result == EXEC_LOCKED && now < session->lock_deadline_ms)
     {
       session->busy = true;
-      timer_arm (session->timer, LOCK_RETRY_MS);
+      timer_start (session->timer, LOCK_RETRY_MS);
       return;
     }
   if (result == EXEC_LOCKED)
@@ -268,20 +271,20 @@
   struct instance *instance = session->instance;
   if (exec_cost_ms (session) < 0)
     {
-      statement_try (session);
+      statement_run (session);
       return;
     }
   session->busy = true;
-  session->wait_seq = ++instance->group->next_wait;
+  session->wait_seq = ++instance->group->last_wait_seq;
   instance->statements++;
   session->cancelled = false;
   session->cancel_at_ms = 0;
-  if (session->run_limit_ms > 0)
+  if (session->statement_timeout_ms > 0)
     {
-      session->cancel_at_ms = group_now () + session->run_limit_ms;
-      timer_arm (session->timer, session->run_limit_ms);
+      session->cancel_at_ms = group_now_ms () + session->statement_timeout_ms;
+      timer_start (session->timer, session->statement_timeout_ms);
     }
-  slot_grant (instance);
+  grant_slots (instance);
 }
 
 static void
@@ -297,7 +300,7 @@
       static const char encoding[] = "client_encoding\0UTF8";
       uint32_t zero = 0;
       session->started = true;
-      session->reloads = session->instance->reloads;
+      session->reload_count = session->instance->reload_count;
       session->busy = false;
       send_bytes (session, 'R', &zero, 4);
       send_bytes (session, 'S', encoding, sizeof encoding);
@@ -311,19 +314,20 @@
       statement_end (session);
     }
   else
-    statement_try (session);
-  session_run (session);
+    statement_run (session);
+  session_process (session);
 }
 
-/* Input.  A cursor over one message; reads beyond its end give zeros.  */
+/* Input.  */
 
+/* A read position in a message.  Reads beyond the end return zeros.  */
 struct cursor
 {
   const char *at, *end;
 };
 
 static uint32_t
-take_int (struct cursor *cursor, size_t size)
+read_int (struct cursor *cursor, size_t size)
 {
   uint32_t value = 0;
   for (; size > 0 && cursor->at < cursor->end; size--)
@@ -332,7 +336,7 @@
 }
 
 static const char *
-take_string (struct cursor *cursor)
+read_string (struct cursor *cursor)
 {
   const char *text = cursor->at;
   const char *nul = memchr (text, 0, (size_t)(cursor->end - text));
@@ -342,26 +346,27 @@
   return text;
 }
 
-/* Statements are kept by name; the name may be empty.  */
+/* Stores a statement by its name, which may be empty.  Only an unnamed one is
+   replaced.  */
 static void
 on_parse (struct session *session, struct cursor *cursor)
 {
-  const char *name = take_string (cursor);
+  const char *name = read_string (cursor);
   if (*name != 0 && rows_find (session->prepared, name) != NULL)
     {
       session_error (session, "42P05", "prepared statement exists");
       return;
     }
-  rows_set (&session->prepared, name, take_string (cursor));
+  rows_set (&session->prepared, name, read_string (cursor));
   send_bytes (session, '1', "", 0);
 }
 
 static void
 on_bind (struct session *session, struct cursor *cursor)
 {
-  take_string (cursor);
+  read_string (cursor);
   const struct row *prepared
-      = rows_find (session->prepared, take_string (cursor));
+      = rows_find (session->prepared, read_string (cursor));
   if (prepared == NULL)
     {
       session_error (session, "26000", "no such prepared statement");
@@ -369,12 +374,12 @@
     }
   clear_statement (session);
   session->statement = mem_strdup (prepared->value);
-  for (uint32_t formats = take_int (cursor, 2); formats > 0; formats--)
-    take_int (cursor, 2);
-  uint32_t count = take_int (cursor, 2);
+  for (uint32_t formats = read_int (cursor, 2); formats > 0; formats--)
+    read_int (cursor, 2);
+  uint32_t count = read_int (cursor, 2);
   for (uint32_t i = 0; i < count && i < PARAM_LIMIT; i++)
     {
-      uint32_t length = take_int (cursor, 4);
+      uint32_t length = read_int (cursor, 4);
       bool null = length == UINT32_MAX;
       if (!null && length > (size_t)(cursor->end - cursor->at))
         break;
@@ -417,13 +422,13 @@
 on_startup (struct session *session, struct cursor cursor)
 {
   struct instance *instance = session->instance;
-  uint32_t code = take_int (&cursor, 4);
+  uint32_t code = read_int (&cursor, 4);
   if (code == SSL_REQUEST || code == GSSENC_REQUEST)
     {
       bufferevent_write (session->bev, "N", 1);
       return;
     }
-  bool full = instance->open >= instance->group->connections;
+  bool full = instance->open_connections >= instance->group->connections;
   session->closing = code != PROTOCOL_3 || full;
   if (code == PROTOCOL_3 && full)
     session_error (session, "53300", "too many connections");
@@ -431,13 +436,13 @@
     return;
   session->busy = true;
   session->counted = true;
-  instance->open++;
-  timer_arm (session->timer, 0);
+  instance->open_connections++;
+  timer_start (session->timer, 0);
 }
 
-/* Handles one message; returns false if none is complete.  */
+/* Handles the next message.  Returns false if it is incomplete or invalid.  */
 static bool
-take_message (struct session *session)
+handle_next_message (struct session *session)
 {
   struct evbuffer *input = bufferevent_get_input (session->bev);
   size_t type_bytes = session->started ? 1 : 0;
@@ -446,7 +451,7 @@
       < (ev_ssize_t)(type_bytes + 4))
     return false;
   struct cursor size = { (char *)head + type_bytes, (char *)head + 5 };
-  size_t length = take_int (&size, 4);
+  size_t length = read_int (&size, 4);
   if (length < 4 || length > MESSAGE_LIMIT_BYTES)
     {
       session->closing = true;
@@ -466,12 +471,14 @@
   return true;
 }
 
+/* Handles buffered messages up to a statement that has to wait, and frees the
+   session if it is closing.  */
 static void
-session_run (struct session *session)
+session_process (struct session *session)
 {
   if (session->instance->frozen)
     return;
-  while (!session->busy && !session->closing && take_message (session))
+  while (!session->busy && !session->closing && handle_next_message (session))
     continue;
   if (session->busy)
     return;
@@ -480,12 +487,12 @@
     session_free (session);
 }
 
-/* Something was read, or all was written.  */
+/* Called when input arrived, and when all output was sent.  */
 static void
-on_progress (struct bufferevent *bev, void *arg)
+on_input_or_drain (struct bufferevent *bev, void *arg)
 {
   (void)bev;
-  session_run (arg);
+  session_process (arg);
 }
 
 static void
@@ -495,7 +502,7 @@
   struct session *session = arg;
   if (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
     session->eof = true;
-  session_run (session);
+  session_process (session);
 }
 
 void
@@ -509,7 +516,7 @@
   session->bev = bufferevent_socket_new (base, fd, BEV_OPT_CLOSE_ON_FREE);
   session->timer = evtimer_new (base, on_timer, session);
   DL_PREPEND (instance->sessions, session);
-  bufferevent_setcb (session->bev, on_progress, on_progress, on_event,
-                     session);
+  bufferevent_setcb (session->bev, on_input_or_drain, on_input_or_drain,
+                     on_event, session);
   bufferevent_enable (session->bev, EV_READ | EV_WRITE);
 }
