--- a/bench/bench_config.c
+++ b/bench/bench_config.c
@@ -55,7 +55,7 @@
 static uint64_t
 change (const struct running *host, int value)
 {
-  struct http_client_answer answer;
+  struct http_client_response answer;
   char *body
       = mem_printf ("{\"action\":\"set\",\"team\":\"" TEAM "\",\"path\":"
                     "\"services/s/weight\",\"value\":%d}",
@@ -82,7 +82,7 @@
 {
   char *text = NULL;
   uint64_t revision = 0;
-  host_ask (host->operators, "GET", "/v1/status", NULL, &text);
+  host_request (host->operators, "GET", "/v1/status", NULL, &text);
   char *at = strstr (text, "\"config_revision\":");
   if (at != NULL)
     revision = strtoull (at + strlen ("\"config_revision\":"), NULL, 10);
@@ -107,7 +107,7 @@
 {
   char *text = NULL;
   char *key = mem_printf ("\"%s\": ", name);
-  host_ask (platform, "GET", "/control", NULL, &text);
+  host_request (platform, "GET", "/control", NULL, &text);
   char *at = strstr (text, key);
   int64_t value = at != NULL ? strtoll (at + strlen (key), NULL, 10) : 0;
   free (key);
@@ -153,7 +153,7 @@
   double begin_ms = host_now_ms ();
   for (size_t i = 0; i < count; i++)
     {
-      host_ask (platform, "PUT", control, NULL, NULL);
+      host_request (platform, "PUT", control, NULL, NULL);
       double start_ms = host_now_ms ();
       uint64_t revision = change (&hosts[i % HOSTS], 1 + value++ % 1000);
       accepted[i] = host_now_ms () - start_ms;
@@ -163,7 +163,7 @@
     }
   double span_s = (host_now_ms () - begin_ms) / 1000;
   calls = platform_calls () - calls;
-  host_ask (platform, "PUT", "/control?slow_ms=0&lose=0", NULL, NULL);
+  host_request (platform, "PUT", "/control?slow_ms=0&lose=0", NULL, NULL);
   print_times (name, "asked_to_accepted", accepted, count);
   print_times (name, "accepted_to_in_force", in_force, count);
   printf ("bench=config hosts=%d case=%s platform_calls_a_change=%.1f "
@@ -203,7 +203,7 @@
   for (size_t i = 0; i < HOSTS; i++)
     start_host (i);
   for (size_t i = 0; i < HOSTS; i++)
-    host_await (hosts[i].operators, "/readyz");
+    host_wait_ready (hosts[i].operators, "/readyz");
   snprintf (slow, sizeof slow, "/control?slow_ms=%d", SLOW_MS);
   measure ("quiet", "/control?lose=0", CHANGES);
   measure ("slow_200_ms", slow, SLOW_CHANGES);
@@ -211,7 +211,7 @@
   for (size_t i = 0; i < HOSTS; i++)
     kill (hosts[i].process.pid, SIGTERM);
   for (size_t i = 0; i < HOSTS; i++)
-    standin_require (host_wait (&hosts[i].process) == 0, "end of a host");
-  standin_end (&standin);
+    standin_require (host_wait_exit (&hosts[i].process) == 0, "end of a host");
+  standin_stop (&standin);
   return 0;
 }
--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -133,8 +133,8 @@
   struct outcome_row row = { 0 };
   uint64_t term = 0;
   sim_control_init (&control, seed, 5, host_domains);
-  sim_control_database (&control, instance_domains);
-  sim_world_delay (control.world, 0, 2);
+  sim_control_add_database (&control, instance_domains);
+  sim_world_set_delay (control.world, 0, 2);
   sim_control_start_all (&control);
   sim_run (&control.sim, WARM_UP_MS);
   struct load_writer *writer = load_writer_new (&control, WRITER_HOST);
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -50,7 +50,7 @@
                    NULL };
   double begin_ms = host_now_ms ();
   host_start (&host->process, argv);
-  host_await (host_port (&host->process, "operators"), "/readyz");
+  host_wait_ready (host_port (&host->process, "operators"), "/readyz");
   double taken_ms = host_now_ms () - begin_ms;
   host->callers = host_port (&host->process, "callers");
   platform_put_host (platform, name, domain,
@@ -131,7 +131,7 @@
                          "\"statement\":\"%s\",\"params\":[\"k\"%s]}",
                          kind, statement,
                          strcmp (kind, "write") == 0 ? ",\"v\"" : "");
-  char *basic = http_client_basic ("c", SECRET);
+  char *basic = http_client_basic_auth ("c", SECRET);
   int size = snprintf (text, sizeof text,
                        "POST /v1/statement HTTP/1.1\r\nHost: h\r\n"
                        "Authorization: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -302,7 +302,7 @@
 end_host (struct measured *host)
 {
   kill (host->process.pid, SIGTERM);
-  standin_require (host_wait (&host->process) == 0, "end of a host");
+  standin_require (host_wait_exit (&host->process) == 0, "end of a host");
 }
 
 int
@@ -333,7 +333,7 @@
   measure_load (&gateway);
   end_host (&entry);
   end_host (&gateway);
-  standin_end (&db);
-  platform_end (&platform);
+  standin_stop (&db);
+  platform_stop (&platform);
   return 0;
 }
--- a/bench/bench_pg.c
+++ b/bench/bench_pg.c
@@ -294,6 +294,6 @@
   run_memory (&bench, ports[0]);
   pg_port_free (bench.port);
   event_base_free (bench.base);
-  standin_end (&standin);
+  standin_stop (&standin);
   return EXIT_SUCCESS;
 }
--- a/bench/bench_reads.c
+++ b/bench/bench_reads.c
@@ -78,7 +78,7 @@
           (unsigned long long)seed, replica_share (b.before),
           (unsigned long long)b.before->stale,
           (long long)load_percentile (&b.before->short_done, 990));
-  sim_instance_lag (rig_instance (b.rig, 0, 1), FAR_MS);
+  sim_instance_set_lag (rig_instance (b.rig, 0, 1), FAR_MS);
   rig_run (b.rig, EJECT_MS);
   load_set_stats (b.load, b.after);
   rig_run (b.rig, RUN_MS);
@@ -87,7 +87,7 @@
           (long long)load_percentile (&b.after->short_done, 990));
   end (&b);
   start (&b, size, policy, seed, rate);
-  sim_instance_slow (rig_instance (b.rig, 0, 1), SLOW_FACTOR);
+  sim_instance_set_slowdown (rig_instance (b.rig, 0, 1), SLOW_FACTOR);
   rig_run (b.rig, EJECT_MS);
   load_set_stats (b.load, b.after);
   rig_run (b.rig, RUN_MS);
--- a/bench/load_outcomes.c
+++ b/bench/load_outcomes.c
@@ -233,8 +233,8 @@
 act (struct run *run, struct session_run *s, struct rig_request *request,
      enum entry_action action, const char *statement, const char *id)
 {
-  rig_act (run->rig, any_host (run), request, action, "release", statement,
-           s->token, id, s->transaction);
+  rig_submit_action (run->rig, any_host (run), request, action, "release",
+                     statement, s->token, id, s->transaction);
 }
 
 static void
@@ -363,8 +363,8 @@
   if (rng_below (&run->rng, 4) != 0
       && write->request.outcome != OUTCOME_UNKNOWN)
     return;
-  rig_act (run->rig, any_host (run), &write->check, ENTRY_LOOKUP, NULL, NULL,
-           NULL, write->id, NULL);
+  rig_submit_action (run->rig, any_host (run), &write->check, ENTRY_LOOKUP,
+                     NULL, NULL, NULL, write->id, NULL);
   rig_wait (run->rig, &write->check, SETTLE_MS);
   if (write->request.outcome != OUTCOME_UNKNOWN
       && write->check.outcome != write->request.outcome)
@@ -374,7 +374,8 @@
 static void
 check_write (struct run *run, struct write *write)
 {
-  uint32_t puts = sim_instance_puts (instance (run, run->primary), write->key);
+  uint32_t puts
+      = sim_instance_count_puts (instance (run, run->primary), write->key);
   const struct rig_request *request = &write->request;
   run->out.doubled += puts > 1;
   if (!request->done)
--- a/src/cli/caller_answer.c
+++ b/src/cli/caller_answer.c
@@ -51,7 +51,7 @@
 }
 
 int64_t
-caller_answer_retry_s (const struct entry_answer *answer)
+caller_answer_retry_after_s (const struct entry_answer *answer)
 {
   if (answer->retry_after_ms > 0)
     return (answer->retry_after_ms + MS_PER_S - 1) / MS_PER_S;
--- a/src/cli/caller_answer.h
+++ b/src/cli/caller_answer.h
@@ -21,6 +21,6 @@
 char *caller_answer_print (const struct entry_answer *answer);
 
 /* Returns the value of Retry-After in seconds, rounded up; 0 for none.  */
-int64_t caller_answer_retry_s (const struct entry_answer *answer);
+int64_t caller_answer_retry_after_s (const struct entry_answer *answer);
 
 #endif
--- a/src/cli/caller_request.c
+++ b/src/cli/caller_request.c
@@ -25,7 +25,7 @@
 {
   struct caller_request *request;
   const struct caller_input *input;
-  struct caller_fault *fault;
+  struct caller_request_error *fault;
 };
 
 static bool
@@ -382,7 +382,7 @@
 bool
 caller_request_read (struct caller_request *request,
                      const struct caller_input *input,
-                     struct caller_fault *fault)
+                     struct caller_request_error *fault)
 {
   struct reader reader
       = { .request = request, .input = input, .fault = fault };
@@ -410,7 +410,7 @@
 }
 
 char *
-caller_fault_print (struct caller_fault *fault)
+caller_request_error_print (struct caller_request_error *fault)
 {
   json_t *list = json_array ();
   for (size_t i = 0; i < fault->findings.count; i++)
--- a/src/cli/caller_request.h
+++ b/src/cli/caller_request.h
@@ -40,7 +40,7 @@
 };
 
 /* Why a request could not be read.  */
-struct caller_fault
+struct caller_request_error
 {
   int status; /* HTTP status, 4xx */
   const char *code;
@@ -51,10 +51,10 @@
    is to be cleared either way.  */
 bool caller_request_read (struct caller_request *request,
                           const struct caller_input *input,
-                          struct caller_fault *fault);
+                          struct caller_request_error *fault);
 void caller_request_clear (struct caller_request *request);
 
 /* Returns the JSON text of FAULT, to be freed, and clears its findings.  */
-char *caller_fault_print (struct caller_fault *fault);
+char *caller_request_error_print (struct caller_request_error *fault);
 
 #endif
--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -199,7 +199,7 @@
 ask (struct input *input, const char *method, const char *path,
      const json_t *body, json_t **answer)
 {
-  struct http_client_answer got;
+  struct http_client_response got;
   char *secret = read_secret (input);
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : NULL;
   const struct http_client_request request = {
--- a/src/cli/cmd_query.c
+++ b/src/cli/cmd_query.c
@@ -177,7 +177,8 @@
 }
 
 static int
-handle_answer (const struct input *input, const struct http_client_answer *got)
+handle_answer (const struct input *input,
+               const struct http_client_response *got)
 {
   json_t *answer = json_loadb (got->body, got->body_bytes, 0, NULL);
   int status = EXIT_FAILED;
@@ -201,7 +202,7 @@
 static int
 send_statement (const struct input *input, const struct settings *settings)
 {
-  struct http_client_answer got;
+  struct http_client_response got;
   char *secret = read_secret (input);
   char *session
       = input->session_file != NULL ? read_line (input->session_file) : NULL;
--- a/src/cli/command.c
+++ b/src/cli/command.c
@@ -10,7 +10,7 @@
 
 /* Prints what a host says about a request that it did not fulfil.  */
 static void
-report_refusal (const struct http_client_answer *answer, const json_t *body)
+report_refusal (const struct http_client_response *answer, const json_t *body)
 {
   const char *text = json_string_value (
       json_object_get (json_object_get (body, "error"), "text"));
@@ -22,7 +22,7 @@
 command_ask (const struct settings *settings, const char *method,
              const char *path, json_t *body, json_t **answer)
 {
-  struct http_client_answer got;
+  struct http_client_response got;
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : NULL;
   struct http_client_request request
       = { .method = method,
--- a/src/cli/event_loop.c
+++ b/src/cli/event_loop.c
@@ -16,7 +16,7 @@
 static const struct clk_ops boottime_ops = { .now = boottime_now };
 
 void
-event_loop_clock (struct clk *clk)
+event_loop_clock_init (struct clk *clk)
 {
   clk->ops = &boottime_ops;
 }
@@ -31,14 +31,14 @@
 }
 
 struct event *
-event_loop_timer (struct event_base *base)
+event_loop_timer_new (struct event_base *base)
 {
   return evtimer_new (base, on_timer, NULL);
 }
 
 void
-event_loop_once (struct event_base *base, struct event *timer,
-                 struct kernel *kernel)
+event_loop_run_once (struct event_base *base, struct event *timer,
+                     struct kernel *kernel)
 {
   int flags = EVLOOP_ONCE;
   clk_ms due_ms = kernel_next_due (kernel);
@@ -56,7 +56,7 @@
 }
 
 void
-event_loop_raise_descriptors (void)
+event_loop_raise_fd_limit (void)
 {
   struct rlimit limit;
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0)
--- a/src/cli/event_loop.h
+++ b/src/cli/event_loop.h
@@ -9,16 +9,16 @@
 
 /* Makes CLK a clock that also counts the time in which the machine was
    suspended: leases and ages go on then.  */
-void event_loop_clock (struct clk *clk);
+void event_loop_clock_init (struct clk *clk);
 
-/* Returns a timer for event_loop_once.  */
-struct event *event_loop_timer (struct event_base *base);
+/* Returns a timer for event_loop_run_once.  */
+struct event *event_loop_timer_new (struct event_base *base);
 
 /* Waits for events or the kernel's next due time, whichever is first.  */
-void event_loop_once (struct event_base *base, struct event *timer,
-                      struct kernel *kernel);
+void event_loop_run_once (struct event_base *base, struct event *timer,
+                          struct kernel *kernel);
 
 /* Lets the process have as many descriptors as its hard limit allows.  */
-void event_loop_raise_descriptors (void);
+void event_loop_raise_fd_limit (void);
 
 #endif
--- a/src/cli/http_caller.c
+++ b/src/cli/http_caller.c
@@ -54,7 +54,7 @@
                     const struct entry_answer *answer)
 {
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
-  int64_t retry_s = caller_answer_retry_s (answer);
+  int64_t retry_s = caller_answer_retry_after_s (answer);
   if (answer->token != NULL)
     evhttp_add_header (headers, "Savoryway-Session", answer->token);
   if (answer->request_id != NULL)
@@ -97,7 +97,7 @@
 
 static void
 refuse (struct http_caller *caller, struct evhttp_request *request,
-        struct caller_fault *fault)
+        struct caller_request_error *fault)
 {
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
   if (fault->status == 401)
@@ -107,7 +107,7 @@
     evhttp_add_header (headers, "Allow", fault->findings.items[0].text);
   count (caller, fault->status);
   http_server_reply (caller->options.server, request, fault->status, JSON_TYPE,
-                     caller_fault_print (fault));
+                     caller_request_error_print (fault));
 }
 
 static void
@@ -157,13 +157,13 @@
   const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri (request);
   struct caller_input input = { 0 };
   struct caller_request read;
-  struct caller_fault fault;
+  struct caller_request_error fault;
   if (uri == NULL)
     {
       evhttp_send_error (request, 400, NULL);
       return;
     }
-  if (http_server_full (caller->options.server))
+  if (http_server_overloaded (caller->options.server))
     {
       refuse_full (caller, request);
       return;
--- a/src/cli/http_client.c
+++ b/src/cli/http_client.c
@@ -17,12 +17,12 @@
 struct exchange
 {
   struct event_base *base;
-  struct http_client_answer *answer;
+  struct http_client_response *answer;
   const char *failure;
 };
 
 char *
-http_client_basic (const char *user, const char *password)
+http_client_basic_auth (const char *user, const char *password)
 {
   char *plain = mem_printf ("%s:%s", user, password != NULL ? password : "");
   size_t length = strlen (plain);
@@ -70,7 +70,7 @@
 keep_answer (struct evhttp_request *request, void *arg)
 {
   struct exchange *exchange = arg;
-  struct http_client_answer *answer = exchange->answer;
+  struct http_client_response *answer = exchange->answer;
   event_base_loopbreak (exchange->base);
   if (request == NULL || evhttp_request_get_response_code (request) == 0)
     return;
@@ -100,7 +100,7 @@
     evhttp_add_header (headers, "Content-Type", "application/json");
   if (wanted->user != NULL)
     {
-      char *value = http_client_basic (wanted->user, wanted->password);
+      char *value = http_client_basic_auth (wanted->user, wanted->password);
       evhttp_add_header (headers, "Authorization", value);
       free (value);
     }
@@ -138,7 +138,7 @@
 
 int
 http_client_call (const struct http_client_request *request,
-                  struct http_client_answer *answer)
+                  struct http_client_response *answer)
 {
   struct exchange exchange
       = { .answer = answer, .failure = "connection failed" };
@@ -166,7 +166,7 @@
 }
 
 void
-http_client_clear (struct http_client_answer *answer)
+http_client_clear (struct http_client_response *answer)
 {
   free (answer->body);
   free (answer->session);
--- a/src/cli/http_client.h
+++ b/src/cli/http_client.h
@@ -34,7 +34,7 @@
   clk_ms timeout_ms; /* 0 is 30 s */
 };
 
-struct http_client_answer
+struct http_client_response
 {
   int status; /* HTTP status; 0 when there was no answer */
   char *body; /* NUL-terminated besides body_bytes; never NULL */
@@ -47,12 +47,12 @@
 /* Sends REQUEST and waits for its answer.  Returns 0 if an answer came, of
    any HTTP status, and -1 if not.  ANSWER is to be cleared either way.  */
 int http_client_call (const struct http_client_request *request,
-                      struct http_client_answer *answer);
+                      struct http_client_response *answer);
 
-void http_client_clear (struct http_client_answer *answer);
+void http_client_clear (struct http_client_response *answer);
 
 /* Returns the value of an Authorization: Basic header; the caller frees
    it.  */
-char *http_client_basic (const char *user, const char *password);
+char *http_client_basic_auth (const char *user, const char *password);
 
 #endif
--- a/src/cli/http_proxy.c
+++ b/src/cli/http_proxy_report.c
@@ -1,4 +1,4 @@
-#include "cli/http_proxy.h"
+#include "cli/http_proxy_report.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -14,21 +14,21 @@
 
 #define METRICS_TYPE "text/plain; version=0.0.4"
 
-struct http_proxy
+struct http_proxy_report
 {
-  struct http_proxy_options options;
+  struct http_proxy_report_options options;
   clk_ms started_ms;
 };
 
 static void
-reply_json (struct http_proxy *proxy, struct evhttp_request *request,
+reply_json (struct http_proxy_report *proxy, struct evhttp_request *request,
             int status, json_t *value)
 {
   http_server_reply_json (proxy->options.server, request, status, value);
 }
 
 static void
-reply_error (struct http_proxy *proxy, struct evhttp_request *request,
+reply_error (struct http_proxy_report *proxy, struct evhttp_request *request,
              int status, const char *text)
 {
   reply_json (proxy, request, status,
@@ -36,7 +36,7 @@
 }
 
 static void
-get_metrics (struct http_proxy *proxy, struct evhttp_request *request)
+get_metrics (struct http_proxy_report *proxy, struct evhttp_request *request)
 {
   struct kernel *kernel = proxy->options.kernel;
   struct metrics *metrics = kernel_metrics (kernel);
@@ -54,9 +54,9 @@
 }
 
 static void
-get_status (struct http_proxy *proxy, struct evhttp_request *request)
+get_status (struct http_proxy_report *proxy, struct evhttp_request *request)
 {
-  const struct http_proxy_options *options = &proxy->options;
+  const struct http_proxy_report_options *options = &proxy->options;
   size_t sessions;
   bool ready, leaving;
   options->state (options->arg, &sessions, &ready, &leaving);
@@ -72,14 +72,14 @@
 }
 
 static void
-get_topology (struct http_proxy *proxy, struct evhttp_request *request)
+get_topology (struct http_proxy_report *proxy, struct evhttp_request *request)
 {
   reply_json (proxy, request, 200,
               proxy_report_topology (proxy->options.kernel));
 }
 
 static void
-get_explain (struct http_proxy *proxy, struct evhttp_request *request)
+get_explain (struct http_proxy_report *proxy, struct evhttp_request *request)
 {
   const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri (request);
   const char *text = evhttp_uri_get_query (uri);
@@ -105,7 +105,8 @@
 static const struct resource
 {
   const char *path;
-  void (*handle) (struct http_proxy *proxy, struct evhttp_request *request);
+  void (*handle) (struct http_proxy_report *proxy,
+                  struct evhttp_request *request);
 } resources[] = {
   { "/metrics", get_metrics },
   { "/v1/status", get_status },
@@ -116,7 +117,7 @@
 static void
 handle (struct evhttp_request *request, void *arg)
 {
-  struct http_proxy *proxy = arg;
+  struct http_proxy_report *proxy = arg;
   const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri (request);
   const char *path = uri != NULL ? evhttp_uri_get_path (uri) : NULL;
   for (size_t i = 0;
@@ -133,10 +134,10 @@
   reply_error (proxy, request, 404, "no such resource");
 }
 
-struct http_proxy *
-http_proxy_new (const struct http_proxy_options *options)
+struct http_proxy_report *
+http_proxy_report_new (const struct http_proxy_report_options *options)
 {
-  struct http_proxy *proxy = mem_zalloc (sizeof *proxy);
+  struct http_proxy_report *proxy = mem_zalloc (sizeof *proxy);
   proxy->options = *options;
   proxy->started_ms = kernel_now (options->kernel);
   evhttp_set_gencb (http_server_evhttp (options->server), handle, proxy);
@@ -144,7 +145,7 @@
 }
 
 void
-http_proxy_free (struct http_proxy *proxy)
+http_proxy_report_free (struct http_proxy_report *proxy)
 {
   free (proxy);
 }
--- a/src/cli/http_proxy.h
+++ b/src/cli/http_proxy_report.h
@@ -1,4 +1,4 @@
-/* http_proxy - operators' reports of a host on the users' platform:
+/* http_proxy_report - operators' reports of a host on the users' platform:
    /metrics, /v1/status, /v1/topology, /v1/explain?database=NAME.  All only
    read.  */
 
@@ -8,9 +8,9 @@
 #include "cli/http_server.h"
 #include "kernel/kernel.h"
 
-struct http_proxy;
+struct http_proxy_report;
 
-struct http_proxy_options
+struct http_proxy_report_options
 {
   struct http_server *server;
   struct kernel *kernel;
@@ -22,7 +22,8 @@
   void *arg;
 };
 
-struct http_proxy *http_proxy_new (const struct http_proxy_options *options);
-void http_proxy_free (struct http_proxy *proxy);
+struct http_proxy_report *
+http_proxy_report_new (const struct http_proxy_report_options *options);
+void http_proxy_report_free (struct http_proxy_report *proxy);
 
 #endif
--- a/src/cli/http_server.c
+++ b/src/cli/http_server.c
@@ -245,13 +245,13 @@
 }
 
 bool
-http_server_full (const struct http_server *server)
+http_server_overloaded (const struct http_server *server)
 {
   return server->unsent_bytes > server->options.unsent_limit_bytes;
 }
 
 size_t
-http_server_unsent (const struct http_server *server)
+http_server_unsent_count (const struct http_server *server)
 {
   return server->sending_count;
 }
--- a/src/cli/http_server.h
+++ b/src/cli/http_server.h
@@ -2,7 +2,7 @@
 
    Answers that a client does not take in time close its connection, so that
    slow clients hold no memory for longer.  While too many bytes wait to be
-   taken, http_server_full is true.  */
+   taken, http_server_overloaded is true.  */
 
 #ifndef SAVORYWAY_CLI_HTTP_SERVER_H
 #define SAVORYWAY_CLI_HTTP_SERVER_H
@@ -23,7 +23,7 @@
   uint16_t port;       /* 0: any free one */
   size_t body_limit_bytes;
   size_t header_limit_bytes;
-  size_t unsent_limit_bytes; /* see http_server_full */
+  size_t unsent_limit_bytes; /* see http_server_overloaded */
   clk_ms idle_ms;            /* closes a connection without traffic */
   clk_ms send_ms;            /* longest time to take an answer */
   struct clk *clk;
@@ -44,10 +44,10 @@
 void http_server_close_kept (struct http_server *server);
 
 /* Whether too many bytes wait to be taken by clients.  */
-bool http_server_full (const struct http_server *server);
+bool http_server_overloaded (const struct http_server *server);
 
 /* Answers of the server that are not sent whole.  */
-size_t http_server_unsent (const struct http_server *server);
+size_t http_server_unsent_count (const struct http_server *server);
 
 /* Answers REQUEST with TEXT of TYPE, which is freed with free.  */
 void http_server_reply (struct http_server *server,
--- a/src/cli/log_out.c
+++ b/src/cli/log_stdout.c
@@ -1,4 +1,4 @@
-#include "cli/log_out.h"
+#include "cli/log_stdout.h"
 
 #include <fcntl.h>
 #include <stdint.h>
@@ -9,7 +9,7 @@
 
 #include "kernel/mem.h"
 
-struct log_out
+struct log_stdout
 {
   struct clk *clk;
   size_t used;
@@ -17,10 +17,10 @@
   char buffer[LOG_OUT_BYTES];
 };
 
-struct log_out *
-log_out_new (struct clk *clk)
+struct log_stdout *
+log_stdout_new (struct clk *clk)
 {
-  struct log_out *out = mem_zalloc (sizeof *out);
+  struct log_stdout *out = mem_zalloc (sizeof *out);
   out->clk = clk;
   int flags = fcntl (STDOUT_FILENO, F_GETFL);
   if (flags >= 0)
@@ -29,18 +29,18 @@
 }
 
 void
-log_out_free (struct log_out *out)
+log_stdout_free (struct log_stdout *out)
 {
   if (out == NULL)
     return;
-  log_out_flush (out);
+  log_stdout_flush (out);
   free (out);
 }
 
 void
-log_out_line (void *arg, int priority, const char *line)
+log_stdout_line (void *arg, int priority, const char *line)
 {
-  struct log_out *out = arg;
+  struct log_stdout *out = arg;
   size_t room = sizeof out->buffer - out->used;
   int length = snprintf (out->buffer + out->used, room, "<%d>ms=%lld %s%s",
                          priority, (long long)clk_now (out->clk), line,
@@ -59,7 +59,7 @@
 }
 
 void
-log_out_flush (struct log_out *out)
+log_stdout_flush (struct log_stdout *out)
 {
   if (out->used == 0)
     return;
--- a/src/cli/log_out.h
+++ b/src/cli/log_stdout.h
@@ -1,4 +1,4 @@
-/* log_out - log lines to standard output, never blocking.
+/* log_stdout - log lines to standard output, never blocking.
 
    Lines gather in a bounded buffer that is written once a turn of the loop.
    While the reader takes nothing, further lines are dropped and counted.  */
@@ -10,16 +10,16 @@
 
 #define LOG_OUT_BYTES ((size_t)64 * 1024)
 
-struct log_out;
+struct log_stdout;
 
 /* Lines are stamped with CLK.  */
-struct log_out *log_out_new (struct clk *clk);
-void log_out_free (struct log_out *out);
+struct log_stdout *log_stdout_new (struct clk *clk);
+void log_stdout_free (struct log_stdout *out);
 
-/* A log_sink; ARG is a struct log_out.  */
-void log_out_line (void *arg, int priority, const char *line);
+/* A log_sink; ARG is a struct log_stdout.  */
+void log_stdout_line (void *arg, int priority, const char *line);
 
 /* Writes what has gathered, as far as the reader takes it.  */
-void log_out_flush (struct log_out *out);
+void log_stdout_flush (struct log_stdout *out);
 
 #endif
--- a/src/cli/run.c
+++ b/src/cli/run.c
@@ -111,8 +111,8 @@
 {
   return run->draining && node_drained (run->node)
          && http_caller_pending (run->caller) == 0
-         && http_server_unsent (run->caller_server) == 0
-         && http_server_unsent (run->operator_server) == 0;
+         && http_server_unsent_count (run->caller_server) == 0
+         && http_server_unsent_count (run->operator_server) == 0;
 }
 
 static void
@@ -121,7 +121,7 @@
   struct kernel *kernel = node_kernel (run->node);
   while (!run->ended)
     {
-      event_loop_once (run->base, run->timer, kernel);
+      event_loop_run_once (run->base, run->timer, kernel);
       if (is_drained (run))
         end_run (run, EXIT_OK);
     }
@@ -134,7 +134,7 @@
   run->base = event_base_new ();
   if (run->base == NULL)
     return false;
-  run->timer = event_loop_timer (run->base);
+  run->timer = event_loop_timer_new (run->base);
   run->drain_limit = evtimer_new (run->base, drain_limit_reached, run);
   for (size_t i = 0; i < sizeof numbers / sizeof numbers[0]; i++)
     {
@@ -311,14 +311,14 @@
 run_host (const struct settings *settings)
 {
   struct run run = { .settings = settings, .status = EXIT_FAILED };
-  event_loop_clock (&run.clk);
+  event_loop_clock_init (&run.clk);
   rng_init_system (&run.rng);
   run.incarnation = settings->incarnation != 0
                         ? (uint64_t)settings->incarnation
                         : rng_u64 (&run.rng) >> 1;
   run.log = log_new (&run.clk, (int)settings->log_level,
                      (uint32_t)settings->log_rate_per_s, log_to_stderr, NULL);
-  event_loop_raise_descriptors ();
+  event_loop_raise_fd_limit ();
   if (!open_events (&run) || !open_listeners (&run))
     goto out;
   open_ports (&run);
--- a/tests/fuzz/sim_control.c
+++ b/tests/fuzz/sim_control.c
@@ -39,10 +39,11 @@
 }
 
 void
-sim_control_database (struct sim_control *control, const char *const *domains)
+sim_control_add_database (struct sim_control *control,
+                          const char *const *domains)
 {
   control->world = sim_world_new (control->sim.world);
-  sim_gate_init (&control->gate, &control->sim, DB_PORT);
+  sim_db_net_init (&control->db_net, &control->sim, DB_PORT);
   struct sim_group *group = sim_group_new (control->world);
   char *json = mem_strdup ("");
   for (size_t i = 0; i < SIM_INSTANCES; i++)
@@ -70,16 +71,16 @@
   free (team);
   free (json);
   for (size_t i = 0; i < control->sim.host_count; i++)
-    control->gate.ports[i].inner
+    control->db_net.ports[i].inner
         = sim_port_new (control->world, control->domains[i]);
 }
 
 static void
 clear_database (struct sim_control *control)
 {
-  sim_gate_clear (&control->gate);
+  sim_db_net_clear (&control->db_net);
   for (size_t i = 0; i < control->sim.host_count; i++)
-    sim_port_free (control->gate.ports[i].inner);
+    sim_port_free (control->db_net.ports[i].inner);
   sim_world_free (control->world);
   sim_port_free (control->writer_port);
 }
@@ -136,7 +137,7 @@
   if (control->world != NULL)
     {
       control->failovers[index]
-          = failover_new (&control->gate.ports[index].base,
+          = failover_new (&control->db_net.ports[index].base,
                           &control->platform.ports[index].base);
       kernel_register (host->kernel,
                        failover_module (control->failovers[index]));
@@ -149,7 +150,7 @@
 {
   for (size_t i = 0; i < control->sim.host_count; i++)
     sim_control_start (control, i, true);
-  sim_control_list (control);
+  sim_control_publish_hosts (control);
 }
 
 void
@@ -162,14 +163,14 @@
   host->kernel = NULL;
   sim_net_kill (&control->net, index);
   if (control->world != NULL)
-    sim_gate_kill (&control->gate, index);
+    sim_db_net_kill (&control->db_net, index);
   sim_platform_kill (&control->platform, index);
   control->incarnations[index] += SIM_HOSTS;
   control->syncs[index] = NULL;
 }
 
 void
-sim_control_list (struct sim_control *control)
+sim_control_publish_hosts (struct sim_control *control)
 {
   struct platform_host list[SIM_HOSTS];
   size_t count = 0;
@@ -205,7 +206,7 @@
       sim_control_cut (control, i, index, cut);
   control->platform.cut[index] = cut;
   for (size_t i = 0; i < SIM_INSTANCES && control->world != NULL; i++)
-    sim_gate_cut (&control->gate, index, i, cut);
+    sim_db_net_cut (&control->db_net, index, i, cut);
 }
 
 void
--- a/tests/fuzz/sim_control.h
+++ b/tests/fuzz/sim_control.h
@@ -9,7 +9,7 @@
 #include "core/sync.h"
 #include "core/terms.h"
 #include "core/view.h"
-#include "sim_gate.h"
+#include "sim_db_net.h"
 #include "sim_instance.h"
 #include "sim_net.h"
 #include "sim_platform.h"
@@ -29,7 +29,7 @@
   struct failover *failovers[SIM_HOSTS];
   /* The database "t/s/d" with its instances "a", "b" and "c", if any.  */
   struct sim_world *world;
-  struct sim_gate gate;
+  struct sim_db_net db_net;
   struct sim_instance *instances[SIM_INSTANCES];
   struct db_port *writer_port; /* of a writer; freed with the world */
 };
@@ -39,8 +39,8 @@
 void sim_control_init (struct sim_control *control, uint64_t seed,
                        size_t host_count, const char *const *domains);
 /* Adds the database, one instance in each of DOMAINS, and configures it.  */
-void sim_control_database (struct sim_control *control,
-                           const char *const *domains);
+void sim_control_add_database (struct sim_control *control,
+                               const char *const *domains);
 const char *sim_control_instance_name (size_t instance);
 
 void sim_control_clear (struct sim_control *control);
@@ -52,7 +52,7 @@
 void sim_control_kill (struct sim_control *control, size_t index);
 
 /* Writes the platform's list from the hosts that run.  */
-void sim_control_list (struct sim_control *control);
+void sim_control_publish_hosts (struct sim_control *control);
 
 /* Cuts or heals the network between hosts A and B.  */
 void sim_control_cut (struct sim_control *control, size_t a, size_t b,
--- a/tests/fuzz/sim_gate.c
+++ b/tests/fuzz/sim_db_net.c
@@ -1,4 +1,4 @@
-#include "sim_gate.h"
+#include "sim_db_net.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -8,11 +8,11 @@
 #define BREAK_AFTER_MS 5000
 
 /* Handed to the host as its struct db_conn.  */
-struct sim_gate_conn
+struct sim_db_net_conn
 {
-  struct sim_gate_conn *prev;
-  struct sim_gate_conn *next;
-  struct sim_gate *gate;
+  struct sim_db_net_conn *prev;
+  struct sim_db_net_conn *next;
+  struct sim_db_net *db_net;
   size_t host;
   size_t instance;
   uint64_t id;
@@ -33,7 +33,7 @@
 struct notice
 {
   struct sim_event base;
-  struct sim_gate *gate;
+  struct sim_db_net *db_net;
   uint64_t conn;
   enum notice_kind kind;
   struct db_result result;
@@ -42,28 +42,28 @@
   char *message;
 };
 
-static struct sim_gate_conn *
-find_conn (struct sim_gate *gate, uint64_t id)
+static struct sim_db_net_conn *
+find_conn (struct sim_db_net *db_net, uint64_t id)
 {
-  for (struct sim_gate_conn *c = gate->conns; c != NULL; c = c->next)
+  for (struct sim_db_net_conn *c = db_net->conns; c != NULL; c = c->next)
     if (c->id == id)
       return c;
   return NULL;
 }
 
 static void
-conn_free (struct sim_gate_conn *conn)
+conn_free (struct sim_db_net_conn *conn)
 {
-  struct sim_gate *gate = conn->gate;
+  struct sim_db_net *db_net = conn->db_net;
   if (conn->inner != NULL)
     {
-      struct db_port *inner = gate->ports[conn->host].inner;
+      struct db_port *inner = db_net->ports[conn->host].inner;
       inner->ops->close (inner, conn->inner);
     }
   if (conn->prev != NULL)
     conn->prev->next = conn->next;
   else
-    gate->conns = conn->next;
+    db_net->conns = conn->next;
   if (conn->next != NULL)
     conn->next->prev = conn->prev;
   free (conn);
@@ -80,7 +80,7 @@
 }
 
 static void
-deliver_closed (struct sim_gate_conn *conn)
+deliver_closed (struct sim_db_net_conn *conn)
 {
   const struct db_conn_events *events = conn->events;
   void *arg = conn->arg;
@@ -88,10 +88,10 @@
     {
       struct db_result lost = { .status = DB_LOST };
       uint64_t id = conn->id;
-      struct sim_gate *gate = conn->gate;
+      struct sim_db_net *db_net = conn->db_net;
       conn->busy = false;
       events->result (arg, (struct db_conn *)conn, &lost);
-      conn = find_conn (gate, id);
+      conn = find_conn (db_net, id);
       if (conn == NULL)
         return;
     }
@@ -103,7 +103,7 @@
 notice_run (struct sim_event *event)
 {
   struct notice *notice = (struct notice *)event;
-  struct sim_gate_conn *conn = find_conn (notice->gate, notice->conn);
+  struct sim_db_net_conn *conn = find_conn (notice->db_net, notice->conn);
   if (conn == NULL)
     return;
   if (notice->kind == NOTICE_OPENED)
@@ -119,12 +119,12 @@
 }
 
 static void
-send_notice (struct sim_gate_conn *conn, enum notice_kind kind,
+send_notice (struct sim_db_net_conn *conn, enum notice_kind kind,
              const struct db_result *result)
 {
-  struct sim_gate *gate = conn->gate;
-  struct sim_host *host = &gate->sim->hosts[conn->host];
-  if (gate->cut[conn->host][conn->instance] && kind != NOTICE_CLOSED)
+  struct sim_db_net *db_net = conn->db_net;
+  struct sim_host *host = &db_net->sim->hosts[conn->host];
+  if (db_net->cut[conn->host][conn->instance] && kind != NOTICE_CLOSED)
     {
       conn->swallowed = true;
       return;
@@ -132,7 +132,7 @@
   struct notice *notice = mem_zalloc (sizeof *notice);
   notice->base.run = notice_run;
   notice->base.drop = notice_drop;
-  notice->gate = gate;
+  notice->db_net = db_net;
   notice->conn = conn->id;
   notice->kind = kind;
   if (result != NULL)
@@ -147,13 +147,13 @@
       notice->result.message = notice->message;
     }
   /* One connection keeps its order: a fixed delay.  */
-  sim_after (gate->sim, host, 1, &notice->base);
+  sim_after (db_net->sim, host, 1, &notice->base);
 }
 
 static void
 inner_opened (void *arg, struct db_conn *inner)
 {
-  struct sim_gate_conn *conn = arg;
+  struct sim_db_net_conn *conn = arg;
   (void)inner;
   send_notice (conn, NOTICE_OPENED, NULL);
 }
@@ -161,7 +161,7 @@
 static void
 inner_result (void *arg, struct db_conn *inner, const struct db_result *result)
 {
-  struct sim_gate_conn *conn = arg;
+  struct sim_db_net_conn *conn = arg;
   (void)inner;
   send_notice (conn, NOTICE_RESULT, result);
 }
@@ -169,11 +169,11 @@
 static void
 inner_closed (void *arg, struct db_conn *inner, const char *why)
 {
-  struct sim_gate_conn *conn = arg;
+  struct sim_db_net_conn *conn = arg;
   (void)inner;
   (void)why;
   conn->inner = NULL;
-  if (conn->gate->cut[conn->host][conn->instance])
+  if (conn->db_net->cut[conn->host][conn->instance])
     conn->swallowed = true;
   else
     send_notice (conn, NOTICE_CLOSED, NULL);
@@ -187,7 +187,7 @@
 struct breaker
 {
   struct sim_event base;
-  struct sim_gate *gate;
+  struct sim_db_net *db_net;
   uint64_t conn;
 };
 
@@ -195,7 +195,7 @@
 breaker_run (struct sim_event *event)
 {
   struct breaker *breaker = (struct breaker *)event;
-  struct sim_gate_conn *conn = find_conn (breaker->gate, breaker->conn);
+  struct sim_db_net_conn *conn = find_conn (breaker->db_net, breaker->conn);
   if (conn != NULL && conn->swallowed)
     send_notice (conn, NOTICE_CLOSED, NULL);
 }
@@ -207,35 +207,35 @@
 }
 
 static void
-swallow (struct sim_gate_conn *conn)
+swallow (struct sim_db_net_conn *conn)
 {
   struct breaker *breaker = mem_zalloc (sizeof *breaker);
   conn->swallowed = true;
   breaker->base.run = breaker_run;
   breaker->base.drop = breaker_drop;
-  breaker->gate = conn->gate;
+  breaker->db_net = conn->db_net;
   breaker->conn = conn->id;
-  sim_after (conn->gate->sim, NULL, BREAK_AFTER_MS, &breaker->base);
+  sim_after (conn->db_net->sim, NULL, BREAK_AFTER_MS, &breaker->base);
 }
 
 static struct db_conn *
 gate_open (struct db_port *base, const struct db_target *target,
            const struct db_conn_events *events, void *arg)
 {
-  struct sim_gate_port *port = (struct sim_gate_port *)base;
-  struct sim_gate *gate = port->gate;
-  struct sim_gate_conn *conn = mem_zalloc (sizeof *conn);
-  conn->gate = gate;
+  struct sim_db_net_port *port = (struct sim_db_net_port *)base;
+  struct sim_db_net *db_net = port->db_net;
+  struct sim_db_net_conn *conn = mem_zalloc (sizeof *conn);
+  conn->db_net = db_net;
   conn->host = port->host->index;
-  conn->instance = (size_t)(target->port - gate->first_port);
-  conn->id = ++gate->next_id;
+  conn->instance = (size_t)(target->port - db_net->first_port);
+  conn->id = ++db_net->next_id;
   conn->events = events;
   conn->arg = arg;
-  conn->next = gate->conns;
+  conn->next = db_net->conns;
   if (conn->next != NULL)
     conn->next->prev = conn;
-  gate->conns = conn;
-  if (gate->cut[conn->host][conn->instance])
+  db_net->conns = conn;
+  if (db_net->cut[conn->host][conn->instance])
     swallow (conn);
   else
     conn->inner
@@ -247,15 +247,15 @@
 gate_submit (struct db_port *base, struct db_conn *handle,
              const struct db_job *job)
 {
-  struct sim_gate_port *port = (struct sim_gate_port *)base;
-  struct sim_gate *gate = port->gate;
-  struct sim_gate_conn *conn = (struct sim_gate_conn *)handle;
+  struct sim_db_net_port *port = (struct sim_db_net_port *)base;
+  struct sim_db_net *db_net = port->db_net;
+  struct sim_db_net_conn *conn = (struct sim_db_net_conn *)handle;
   if (conn->busy)
     abort (); /* one job at a time */
   conn->busy = true;
   if (conn->inner == NULL)
     return; /* closed already; the notice is on its way */
-  if (gate->cut[conn->host][conn->instance])
+  if (db_net->cut[conn->host][conn->instance])
     swallow (conn);
   else
     port->inner->ops->submit (port->inner, conn->inner, job);
@@ -265,47 +265,49 @@
 gate_close (struct db_port *base, struct db_conn *handle)
 {
   (void)base;
-  conn_free ((struct sim_gate_conn *)handle);
+  conn_free ((struct sim_db_net_conn *)handle);
 }
 
 static const struct db_port_ops gate_ops
     = { .open = gate_open, .submit = gate_submit, .close = gate_close };
 
 void
-sim_gate_init (struct sim_gate *gate, struct sim *sim, uint16_t first_port)
+sim_db_net_init (struct sim_db_net *db_net, struct sim *sim,
+                 uint16_t first_port)
 {
-  memset (gate, 0, sizeof *gate);
-  gate->sim = sim;
-  gate->first_port = first_port;
+  memset (db_net, 0, sizeof *db_net);
+  db_net->sim = sim;
+  db_net->first_port = first_port;
   for (size_t i = 0; i < SIM_HOSTS; i++)
-    gate->ports[i] = (struct sim_gate_port){ .base.ops = &gate_ops,
-                                             .gate = gate,
-                                             .host = &sim->hosts[i] };
+    db_net->ports[i] = (struct sim_db_net_port){ .base.ops = &gate_ops,
+                                                 .db_net = db_net,
+                                                 .host = &sim->hosts[i] };
 }
 
 void
-sim_gate_clear (struct sim_gate *gate)
+sim_db_net_clear (struct sim_db_net *db_net)
 {
-  while (gate->conns != NULL)
-    conn_free (gate->conns);
+  while (db_net->conns != NULL)
+    conn_free (db_net->conns);
 }
 
 void
-sim_gate_cut (struct sim_gate *gate, size_t host, size_t instance, bool cut)
+sim_db_net_cut (struct sim_db_net *db_net, size_t host, size_t instance,
+                bool cut)
 {
-  gate->cut[host][instance] = cut;
+  db_net->cut[host][instance] = cut;
   if (cut)
     return;
-  for (struct sim_gate_conn *c = gate->conns; c != NULL; c = c->next)
+  for (struct sim_db_net_conn *c = db_net->conns; c != NULL; c = c->next)
     if (c->host == host && c->instance == instance && c->swallowed)
       send_notice (c, NOTICE_CLOSED, NULL);
 }
 
 void
-sim_gate_kill (struct sim_gate *gate, size_t host)
+sim_db_net_kill (struct sim_db_net *db_net, size_t host)
 {
-  struct sim_gate_conn *next;
-  for (struct sim_gate_conn *c = gate->conns; c != NULL; c = next)
+  struct sim_db_net_conn *next;
+  for (struct sim_db_net_conn *c = db_net->conns; c != NULL; c = next)
     {
       next = c->next;
       if (c->host == host)
@@ -314,10 +316,10 @@
 }
 
 size_t
-sim_gate_conns (const struct sim_gate *gate, size_t host)
+sim_db_net_conns (const struct sim_db_net *db_net, size_t host)
 {
   size_t count = 0;
-  for (struct sim_gate_conn *c = gate->conns; c != NULL; c = c->next)
+  for (struct sim_db_net_conn *c = db_net->conns; c != NULL; c = c->next)
     count += c->host == host;
   return count;
 }
--- a/tests/fuzz/sim_instance.c
+++ b/tests/fuzz/sim_instance.c
@@ -17,7 +17,8 @@
 }
 
 void
-sim_world_delay (struct sim_world *world, clk_ms local_ms, clk_ms remote_ms)
+sim_world_set_delay (struct sim_world *world, clk_ms local_ms,
+                     clk_ms remote_ms)
 {
   world->local_ms = local_ms;
   world->remote_ms = remote_ms;
@@ -337,13 +338,13 @@
 }
 
 void
-sim_instance_slow (struct sim_instance *instance, uint32_t factor)
+sim_instance_set_slowdown (struct sim_instance *instance, uint32_t factor)
 {
   instance->slow = factor;
 }
 
 void
-sim_instance_lag (struct sim_instance *instance, clk_ms lag_ms)
+sim_instance_set_lag (struct sim_instance *instance, clk_ms lag_ms)
 {
   instance->options.lag_ms = lag_ms;
   sim_group_wake (instance->group);
@@ -401,19 +402,20 @@
 }
 
 uint32_t
-sim_instance_puts (struct sim_instance *instance, const char *key)
+sim_instance_count_puts (struct sim_instance *instance, const char *key)
 {
   return sim_log_puts (&instance->group->store, &instance->log, key);
 }
 
 uint32_t
-sim_instance_ledger (struct sim_instance *instance, const char *request_id)
+sim_instance_count_requests (struct sim_instance *instance,
+                             const char *request_id)
 {
   return sim_log_ledger (&instance->group->store, &instance->log, request_id);
 }
 
 uint32_t
-sim_instance_open (const struct sim_instance *instance)
+sim_instance_open_count (const struct sim_instance *instance)
 {
   return instance->open;
 }
--- a/tests/fuzz/sim_instance.h
+++ b/tests/fuzz/sim_instance.h
@@ -24,8 +24,8 @@
 void sim_world_free (struct sim_world *world);
 
 /* Time of a message one way, within a failure domain and between two.  */
-void sim_world_delay (struct sim_world *world, clk_ms local_ms,
-                      clk_ms remote_ms);
+void sim_world_set_delay (struct sim_world *world, clk_ms local_ms,
+                          clk_ms remote_ms);
 
 /* Cuts or heals the network between two failure domains.  */
 void sim_world_cut (struct sim_world *world, const char *a, const char *b,
@@ -61,8 +61,9 @@
 void sim_instance_freeze (struct sim_instance *instance, bool frozen);
 void sim_instance_kill (struct sim_instance *instance);
 void sim_instance_restart (struct sim_instance *instance);
-void sim_instance_slow (struct sim_instance *instance, uint32_t factor);
-void sim_instance_lag (struct sim_instance *instance, clk_ms lag_ms);
+void sim_instance_set_slowdown (struct sim_instance *instance,
+                                uint32_t factor);
+void sim_instance_set_lag (struct sim_instance *instance, clk_ms lag_ms);
 /* The next COUNT results are computed, then their connections break.  */
 void sim_instance_lose_answers (struct sim_instance *instance, uint32_t count);
 
@@ -80,10 +81,11 @@
 struct db_report sim_instance_report (struct sim_instance *instance);
 const char *sim_instance_get (struct sim_instance *instance, const char *key);
 /* How many entries of the log put KEY, and how many carry REQUEST_ID.  */
-uint32_t sim_instance_puts (struct sim_instance *instance, const char *key);
-uint32_t sim_instance_ledger (struct sim_instance *instance,
-                              const char *request_id);
-uint32_t sim_instance_open (const struct sim_instance *instance);
+uint32_t sim_instance_count_puts (struct sim_instance *instance,
+                                  const char *key);
+uint32_t sim_instance_count_requests (struct sim_instance *instance,
+                                      const char *request_id);
+uint32_t sim_instance_open_count (const struct sim_instance *instance);
 uint32_t sim_instance_open_peak (const struct sim_instance *instance);
 uint32_t sim_instance_opening_peak (const struct sim_instance *instance);
 uint32_t sim_instance_running_peak (const struct sim_instance *instance);
--- a/tests/fuzz/sim_oracle.c
+++ b/tests/fuzz/sim_oracle.c
@@ -59,7 +59,7 @@
 {
   size_t copies = 0;
   for (size_t i = 0; i < count; i++)
-    copies += sim_instance_puts (instances[i], write->key) > 0;
+    copies += sim_instance_count_puts (instances[i], write->key) > 0;
   return 2 * copies > count;
 }
 
@@ -176,7 +176,7 @@
 check_write (struct oracle *oracle, const struct oracle_write *write,
              struct sim_instance *primary)
 {
-  uint32_t puts = sim_instance_puts (primary, write->key);
+  uint32_t puts = sim_instance_count_puts (primary, write->key);
   oracle->checked[PROMISE_AT_MOST_ONCE]++;
   if (puts > 1)
     oracle_violation (oracle, PROMISE_AT_MOST_ONCE, "%s ran %u times",
@@ -190,7 +190,7 @@
   if (write->key2[0] == '\0')
     return;
   oracle->checked[PROMISE_NO_MIXING]++;
-  if (sim_instance_puts (primary, write->key2) != puts)
+  if (sim_instance_count_puts (primary, write->key2) != puts)
     oracle_violation (oracle, PROMISE_NO_MIXING,
                       "%s took effect in part: %s but not %s",
                       write->request_id, write->key, write->key2);
--- a/tests/fuzz/sim_parsers.c
+++ b/tests/fuzz/sim_parsers.c
@@ -66,7 +66,7 @@
 parse_request (const char *text, size_t size)
 {
   struct caller_request request;
-  struct caller_fault fault;
+  struct caller_request_error fault;
   const struct caller_input input
       = { .method = "POST",
           .path = "/v1/statement",
@@ -75,7 +75,7 @@
           .body_bytes = size };
   bool ok = caller_request_read (&request, &input, &fault);
   if (!ok)
-    free (caller_fault_print (&fault));
+    free (caller_request_error_print (&fault));
   caller_request_clear (&request);
   return ok;
 }
--- a/tests/fuzz/sim_rig.c
+++ b/tests/fuzz/sim_rig.c
@@ -610,9 +610,10 @@
 }
 
 void
-rig_act (struct rig *rig, size_t host, struct rig_request *request,
-         enum entry_action action, const char *kind, const char *statement,
-         const char *token, const char *request_id, const char *transaction)
+rig_submit_action (struct rig *rig, size_t host, struct rig_request *request,
+                   enum entry_action action, const char *kind,
+                   const char *statement, const char *token,
+                   const char *request_id, const char *transaction)
 {
   const struct entry_request from = { .action = action,
                                       .service = RIG_SERVICE,
--- a/tests/fuzz/sim_rig.h
+++ b/tests/fuzz/sim_rig.h
@@ -98,10 +98,11 @@
                  const char *kind, const char *statement, const char *token,
                  const char *request_id, clk_ms deadline_ms);
 /* The same for any action.  */
-void rig_act (struct rig *rig, size_t host, struct rig_request *request,
-              enum entry_action action, const char *kind,
-              const char *statement, const char *token, const char *request_id,
-              const char *transaction);
+void rig_submit_action (struct rig *rig, size_t host,
+                        struct rig_request *request, enum entry_action action,
+                        const char *kind, const char *statement,
+                        const char *token, const char *request_id,
+                        const char *transaction);
 
 /* Runs until REQUEST is done, at most LIMIT_MS.  */
 void rig_wait (struct rig *rig, const struct rig_request *request,
--- a/tests/fuzz/sim_run.c
+++ b/tests/fuzz/sim_run.c
@@ -90,7 +90,7 @@
     .clk = &sim_host->clk.base,
     .rng = &sim_host->rng,
     .log = sim_host->log,
-    .db = &run->gate.ports[index].base,
+    .db = &run->db_net.ports[index].base,
     .peer = &run->net.ports[index].base,
     .platform = &run->platform.ports[index].base,
     .seed_count = seed_count,
@@ -114,7 +114,7 @@
   node_free (run->hosts[index].node);
   run->hosts[index].node = NULL;
   sim_host->kernel = NULL;
-  sim_gate_kill (&run->gate, index);
+  sim_db_net_kill (&run->db_net, index);
   sim_net_kill (&run->net, index);
   sim_platform_kill (&run->platform, index);
   run_calls_broken (run, index);
@@ -125,7 +125,7 @@
 start_instances (struct run *run)
 {
   run->world = sim_world_new (run->sim.world);
-  sim_world_delay (run->world, 1, 2);
+  sim_world_set_delay (run->world, 1, 2);
   run->group = sim_group_new (run->world);
   for (size_t i = 0; i < SIM_INSTANCES; i++)
     {
@@ -140,9 +140,9 @@
               .lag_ms = 20 };
       run->instances[i] = sim_instance_new (run->group, &options);
     }
-  sim_gate_init (&run->gate, &run->sim, FIRST_PORT);
+  sim_db_net_init (&run->db_net, &run->sim, FIRST_PORT);
   for (size_t i = 0; i < RUN_HOSTS; i++)
-    run->gate.ports[i].inner = sim_port_new (run->world, host_domain (i));
+    run->db_net.ports[i].inner = sim_port_new (run->world, host_domain (i));
 }
 
 void
@@ -227,14 +227,14 @@
     {
       sim_instance_isolate (run->instances[i], false);
       sim_instance_freeze (run->instances[i], false);
-      sim_instance_slow (run->instances[i], 1);
-      sim_instance_lag (run->instances[i], 20);
+      sim_instance_set_slowdown (run->instances[i], 1);
+      sim_instance_set_lag (run->instances[i], 20);
       sim_instance_lose_answers (run->instances[i], 0);
       if (run->instance_down[i])
         sim_instance_restart (run->instances[i]);
       run->instance_down[i] = false;
       for (size_t j = 0; j < RUN_HOSTS; j++)
-        sim_gate_cut (&run->gate, j, i, false);
+        sim_db_net_cut (&run->db_net, j, i, false);
     }
   for (size_t i = 0; i < RUN_HOSTS; i++)
     {
@@ -301,9 +301,9 @@
     run_host_stop (run, i);
   run_calls_broken (run, SIZE_MAX);
   run_config_broken (run, SIZE_MAX);
-  sim_gate_clear (&run->gate);
+  sim_db_net_clear (&run->db_net);
   for (size_t i = 0; i < RUN_HOSTS; i++)
-    sim_port_free (run->gate.ports[i].inner);
+    sim_port_free (run->db_net.ports[i].inner);
   sim_world_free (run->world);
   sim_platform_clear (&run->platform);
   sim_clear (&run->sim);
--- a/tests/fuzz/sim_run.h
+++ b/tests/fuzz/sim_run.h
@@ -10,7 +10,7 @@
 
 #include "core/node.h"
 #include "sim_core.h"
-#include "sim_gate.h"
+#include "sim_db_net.h"
 #include "sim_instance.h"
 #include "sim_net.h"
 #include "sim_oracle.h"
@@ -46,7 +46,7 @@
   struct sim sim;
   struct sim_net net;
   struct sim_platform platform;
-  struct sim_gate gate;
+  struct sim_db_net db_net;
   struct sim_world *world;
   struct sim_group *group;
   struct sim_instance *instances[SIM_INSTANCES];
--- a/tests/fuzz/sim_steps.c
+++ b/tests/fuzz/sim_steps.c
@@ -54,11 +54,11 @@
       break;
     case 5:
       run_note (run, "instance %zu lags", i);
-      sim_instance_lag (instance, (clk_ms)run_byte (run) * 40);
+      sim_instance_set_lag (instance, (clk_ms)run_byte (run) * 40);
       break;
     default:
       run_note (run, "instance %zu is slow", i);
-      sim_instance_slow (instance, 1 + run_byte (run) % 50);
+      sim_instance_set_slowdown (instance, 1 + run_byte (run) % 50);
       break;
     }
 }
@@ -132,8 +132,8 @@
       break;
     case 2:
       run_note (run, "host %zu and instance %zu cut", a, b % SIM_INSTANCES);
-      sim_gate_cut (&run->gate, a, b % SIM_INSTANCES,
-                    !run->gate.cut[a][b % SIM_INSTANCES]);
+      sim_db_net_cut (&run->db_net, a, b % SIM_INSTANCES,
+                      !run->db_net.cut[a][b % SIM_INSTANCES]);
       break;
     case 3:
       run->platform.cut[a] = !run->platform.cut[a];
@@ -145,7 +145,7 @@
         if (i % RUN_DOMAINS != a % RUN_DOMAINS)
           run->sim.cut[a][i] = run->sim.cut[i][a] = true;
       for (size_t i = 0; i < SIM_INSTANCES; i++)
-        sim_gate_cut (&run->gate, a, i, i != a % RUN_DOMAINS);
+        sim_db_net_cut (&run->db_net, a, i, i != a % RUN_DOMAINS);
       run->platform.cut[a] = true;
       cut_instances (run, a % RUN_DOMAINS, true);
       break;
@@ -185,7 +185,7 @@
   for (size_t j = 0; j < RUN_HOSTS; j++)
     run->sim.cut[i][j] = run->sim.cut[j][i] = false;
   for (size_t j = 0; j < SIM_INSTANCES; j++)
-    sim_gate_cut (&run->gate, i, j, false);
+    sim_db_net_cut (&run->db_net, i, j, false);
   cut_instances (run, i % RUN_DOMAINS, false);
   run->platform.cut[i] = false;
   run->platform.outage = false;
@@ -194,8 +194,8 @@
   run_host_start (run, i);
   sim_instance_isolate (run->instances[instance], false);
   sim_instance_freeze (run->instances[instance], false);
-  sim_instance_slow (run->instances[instance], 1);
-  sim_instance_lag (run->instances[instance], 20);
+  sim_instance_set_slowdown (run->instances[instance], 1);
+  sim_instance_set_lag (run->instances[instance], 20);
   if (run->instance_down[instance])
     sim_instance_restart (run->instances[instance]);
   run->instance_isolated[instance] = false;
@@ -278,7 +278,7 @@
 lag_all (struct run *run, clk_ms lag_ms)
 {
   for (size_t i = 0; i < SIM_INSTANCES; i++)
-    sim_instance_lag (run->instances[i], lag_ms);
+    sim_instance_set_lag (run->instances[i], lag_ms);
   run_write (run, 0, 0);
   sim_run (&run->sim, MAX_AGE_MS + (clk_ms)5 * SHORT_WAIT_MS);
   for (size_t i = 0; i < RUN_HOSTS; i++)
--- a/tests/standin/standin_host.h
+++ b/tests/standin/standin_host.h
@@ -116,10 +116,10 @@
 /* Asks PATH of a listener.  Returns the HTTP status, 0 without an answer;
    TEXT, if not NULL, gets the body, to be freed.  */
 static inline int
-host_ask (uint16_t port, const char *method, const char *path,
-          const char *body, char **text)
+host_request (uint16_t port, const char *method, const char *path,
+              const char *body, char **text)
 {
-  struct http_client_answer answer;
+  struct http_client_response answer;
   struct http_client_request request
       = { .method = method,
           .address = "127.0.0.1",
@@ -137,10 +137,10 @@
 
 /* Waits until PATH of a listener is answered with 200.  */
 static inline void
-host_await (uint16_t port, const char *path)
+host_wait_ready (uint16_t port, const char *path)
 {
   double until_ms = host_now_ms () + HOST_WAIT_MS;
-  while (host_ask (port, "GET", path, NULL, NULL) != 200)
+  while (host_request (port, "GET", path, NULL, NULL) != 200)
     {
       standin_require (host_now_ms () < until_ms, path);
       usleep (500);
@@ -150,7 +150,7 @@
 /* Returns the exit status of the host, once it has ended; -1 if a signal
    ended it.  */
 static inline int
-host_wait (struct host *host)
+host_wait_exit (struct host *host)
 {
   int status = 0;
   waitpid (host->pid, &status, 0);
@@ -161,10 +161,10 @@
 
 /* Ends the stand-in of the platform.  */
 static inline void
-platform_end (struct standin *platform)
+platform_stop (struct standin *platform)
 {
   kill (platform->pid, SIGTERM);
-  standin_end (platform);
+  standin_stop (platform);
 }
 
 static inline void
@@ -176,8 +176,8 @@
   char *body = mem_printf ("[{\"KV\": {\"Verb\": \"cas\", \"Index\": 0, "
                            "\"Key\": \"%s\", \"Value\": \"%s\"}}]",
                            key, encoded);
-  standin_require (host_ask (platform, "PUT", "/v1/txn", body, NULL) == 200,
-                   key);
+  standin_require (
+      host_request (platform, "PUT", "/v1/txn", body, NULL) == 200, key);
   free (body);
 }
 
@@ -223,7 +223,7 @@
       "\"Port\": %u, \"Meta\": {\"domain\": \"%s\", \"incarnation\": \"%s\"}}",
       name, port, domain, incarnation);
   standin_require (
-      host_ask (platform, "PUT", "/v1/agent/service/register", body, NULL)
+      host_request (platform, "PUT", "/v1/agent/service/register", body, NULL)
           == 200,
       name);
   free (body);
--- a/tests/standin/standin_spawn.h
+++ b/tests/standin/standin_spawn.h
@@ -77,7 +77,7 @@
 
 /* Ends the stand-in; it must have run without a fault.  */
 static inline void
-standin_end (struct standin *standin)
+standin_stop (struct standin *standin)
 {
   int status = 0;
   close (standin->input);
--- a/tests/unit/pg_client.h
+++ b/tests/unit/pg_client.h
@@ -230,7 +230,7 @@
 {
   pg_port_free (port);
   event_base_free (base);
-  standin_end (&standin);
+  standin_stop (&standin);
 }
 
 #endif
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -73,7 +73,7 @@
   view_free (view);
   log_free (quiet);
   event_base_free (base);
-  standin_end (&standin);
+  standin_stop (&standin);
 }
 
 /* The answer to the last request.  */
--- a/tests/unit/test_consul.c
+++ b/tests/unit/test_consul.c
@@ -176,7 +176,7 @@
   consul_port_free (port);
   metrics_free (metrics);
   event_base_free (base);
-  standin_end (&standin);
+  standin_stop (&standin);
 }
 
 UNIT_TEST (test_write_is_compare_and_swap)
--- a/tests/unit/test_entry.c
+++ b/tests/unit/test_entry.c
@@ -54,7 +54,7 @@
     }                                                                         \
   while (0)
 #define EXPECT(...) EXPECT_OF (rig_submit, __VA_ARGS__)
-#define EXPECT_ACT(...) EXPECT_OF (rig_act, __VA_ARGS__)
+#define EXPECT_ACT(...) EXPECT_OF (rig_submit_action, __VA_ARGS__)
 
 /* Partitions the failure domain of the primary from the others.  */
 static void
@@ -107,7 +107,8 @@
   ck_assert_str_eq (a.payload, "{\"lsn\": 1}");
   EXPECT (OUTCOME_DONE, 1000, 3, &b, "release", "put k v2", NULL, "id-1", 0);
   ck_assert_str_eq (b.payload, "{\"lsn\": 1}");
-  ck_assert_uint_eq (sim_instance_puts (rig_instance (rig, 0, 0), "k"), 1);
+  ck_assert_uint_eq (sim_instance_count_puts (rig_instance (rig, 0, 0), "k"),
+                     1);
 }
 
 UNIT_TEST (test_request_id_is_accepted_up_to_its_length_limit)
@@ -128,7 +129,8 @@
   write_and_wait ("put k v1", "id-1");
   ck_assert_int_eq (a.outcome, OUTCOME_DONE);
   ck_assert_str_eq (a.payload, "{\"lsn\": 1}");
-  ck_assert_uint_eq (sim_instance_puts (rig_instance (rig, 0, 0), "k"), 1);
+  ck_assert_uint_eq (sim_instance_count_puts (rig_instance (rig, 0, 0), "k"),
+                     1);
 }
 
 UNIT_TEST (test_outcome_of_a_write_to_a_frozen_primary_is_resolved)
@@ -139,7 +141,7 @@
   ck_assert (!a.done);
   sim_instance_freeze (rig_instance (rig, 0, 0), false);
   rig_wait (rig, &a, 30000);
-  uint32_t puts = sim_instance_puts (rig_instance (rig, 0, 0), "k");
+  uint32_t puts = sim_instance_count_puts (rig_instance (rig, 0, 0), "k");
   ck_assert_int_eq (a.outcome == OUTCOME_DONE ? 1 : 0, puts);
   ck_assert_int_ne (a.outcome, OUTCOME_UNKNOWN);
 }
@@ -153,14 +155,14 @@
   rig_submit (rig, 0, &a, "release", "put k v1", NULL, "id-1", 1000);
   rig_run (rig, 200);
   ck_assert (!a.done);
-  ck_assert_uint_eq (sim_instance_puts (old, "k"), 2);
+  ck_assert_uint_eq (sim_instance_count_puts (old, "k"), 2);
   sim_instance_isolate (old, true);
   rig_promote (rig, 0, 1, 2);
   sim_instance_isolate (old, false);
   rig_wait (rig, &a, 30000);
   struct sim_instance *now = rig_instance (rig, 0, 1);
   ck_assert_int_ne (a.outcome, OUTCOME_UNKNOWN);
-  ck_assert_int_eq (sim_instance_puts (now, "k"),
+  ck_assert_int_eq (sim_instance_count_puts (now, "k"),
                     a.outcome == OUTCOME_DONE ? 2 : 1);
 }
 
@@ -203,7 +205,7 @@
 
 UNIT_TEST (test_max_age_read_avoids_a_replica_that_lags_too_far)
 {
-  sim_instance_lag (rig_instance (rig, 0, 1), 60000);
+  sim_instance_set_lag (rig_instance (rig, 0, 1), 60000);
   write_and_wait ("put k v", NULL);
   rig_run (rig, 3000);
   for (size_t i = 0; i < 6; i++)
@@ -240,8 +242,8 @@
   rig_submit (rig, 2, &c, "count", "get k", b.token, NULL, 0);
   rig_wait (rig, &c, 1000);
   ck_assert_str_eq (c.payload, "{\"value\": \"v\"}");
-  rig_act (rig, 0, &b, ENTRY_EXECUTE, "release", "put k v", NULL, NULL,
-           a.transaction);
+  rig_submit_action (rig, 0, &b, ENTRY_EXECUTE, "release", "put k v", NULL,
+                     NULL, a.transaction);
   rig_wait (rig, &b, 1000);
   ck_assert_int_eq (b.reason, REASON_BAD_TRANSACTION);
   rig_run (rig, 2000);
@@ -272,7 +274,8 @@
               "id-2", NULL);
   write_and_wait ("put k w", "id-2");
   ck_assert_int_eq (a.outcome, OUTCOME_NOT_RUN);
-  ck_assert_uint_eq (sim_instance_puts (rig_instance (rig, 0, 0), "k"), 1);
+  ck_assert_uint_eq (sim_instance_count_puts (rig_instance (rig, 0, 0), "k"),
+                     1);
 }
 
 UNIT_TEST (test_write_without_any_replica_is_refused)
@@ -282,7 +285,8 @@
   rig_run (rig, 5000);
   EXPECT (OUTCOME_NOT_RUN, 1000, 0, &b, "release", "put k w", NULL, NULL, 500);
   ck_assert_int_eq (b.reason, REASON_NO_MAJORITY);
-  ck_assert_uint_eq (sim_instance_puts (rig_instance (rig, 0, 0), "k"), 1);
+  ck_assert_uint_eq (sim_instance_count_puts (rig_instance (rig, 0, 0), "k"),
+                     1);
 }
 
 UNIT_TEST (test_strong_read_without_a_recent_view_needs_a_majority)
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -16,7 +16,7 @@
 setup (void)
 {
   sim_control_init (&control, 11, 5, three);
-  sim_control_database (&control, instance_domains);
+  sim_control_add_database (&control, instance_domains);
   sim_control_start_all (&control);
   sim_run (&control.sim, 4000);
   writer = load_writer_new (&control, 4);
@@ -122,7 +122,7 @@
 {
   for (size_t i = 0; i < 5; i++)
     if (strcmp (three[i], "d1") == 0)
-      sim_gate_cut (&control.gate, i, 0, true);
+      sim_db_net_cut (&control.db_net, i, 0, true);
   sim_run (&control.sim, 20000);
   check_term (1);
 }
@@ -166,13 +166,13 @@
      domains on the other.  */
   for (size_t i = 0; i < 5; i++)
     for (size_t j = 0; j < 2; j++)
-      sim_gate_cut (&control.gate, i, j, true);
+      sim_db_net_cut (&control.db_net, i, j, true);
   sim_run (&control.sim, 10000);
   check_term (1);
   ck_assert_uint_gt (load_writer_acknowledged (writer), 0);
   check_writes_go_on (1000);
   for (size_t i = 0; i < 5; i++)
-    sim_gate_cut (&control.gate, i, 1, false);
+    sim_db_net_cut (&control.db_net, i, 1, false);
   sim_run (&control.sim, 5000);
   check_term (2);
 }
--- a/tests/unit/test_gateway.c
+++ b/tests/unit/test_gateway.c
@@ -128,7 +128,7 @@
 {
   start_rig (&sizes[0]);
   struct sim_instance *primary = rig_instance (rig, 0, 0);
-  ck_assert_uint_ge (sim_instance_open (primary), 6);
+  ck_assert_uint_ge (sim_instance_open_count (primary), 6);
   ck_assert_uint_le (sim_instance_opening_peak (primary), 4);
   submit_many (5, "release", "put k v 5", 1000);
   rig_run (rig, 60);
@@ -212,7 +212,8 @@
   rig_run (rig, 300);
   ck_assert (!requests[0].done || requests[0].outcome != OUTCOME_DONE);
   ck_assert (!requests[1].done || requests[1].outcome != OUTCOME_DONE);
-  ck_assert_uint_eq (sim_instance_puts (rig_instance (rig, 0, 0), "k"), 1);
+  ck_assert_uint_eq (sim_instance_count_puts (rig_instance (rig, 0, 0), "k"),
+                     1);
   rig_free (rig);
 }
 
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -310,7 +310,7 @@
   fd = client_connect ();
   client_send_good (fd);
   ck_assert_int_eq (client_receive (fd), 200);
-  ck_assert_uint_eq (http_server_unsent (fixture.server), 0);
+  ck_assert_uint_eq (http_server_unsent_count (fixture.server), 0);
   close (fd);
 }
 
@@ -328,7 +328,7 @@
   while (fixture.submitted == 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
   report ();
-  ck_assert (http_server_full (fixture.server));
+  ck_assert (http_server_overloaded (fixture.server));
   fixture.answer.payload_bytes = 2;
   /* Memory is short, so another request is refused before it runs.  */
   int other = client_connect ();
@@ -337,7 +337,7 @@
   ck_assert_ptr_nonnull (strstr (reply, "Retry-After: 1"));
   ck_assert_ptr_nonnull (strstr (reply, "\"overload\""));
   fixture.clk.now_ms += 1000;
-  while (http_server_unsent (fixture.server) > 0)
+  while (http_server_unsent_count (fixture.server) > 0)
     event_base_loop (fixture.base, EVLOOP_ONCE);
   client_send_good (other);
   ck_assert_int_eq (client_receive (other), 200);
@@ -423,7 +423,7 @@
     {
       char body[sizeof good];
       struct caller_request request;
-      struct caller_fault fault;
+      struct caller_request_error fault;
       memcpy (body, good, sizeof good);
       size_t length = 1 + rng_below (&rng, sizeof good - 1);
       for (size_t j = rng_below (&rng, 4); j > 0; j--)
@@ -435,7 +435,7 @@
                                     .body_bytes = length };
       if (!caller_request_read (&request, &input, &fault))
         {
-          char *text = caller_fault_print (&fault);
+          char *text = caller_request_error_print (&fault);
           json_t *parsed = json_loads (text, 0, NULL);
           ck_assert_ptr_nonnull (parsed);
           json_decref (parsed);
@@ -471,16 +471,16 @@
       int unknown = statuses[reason].unknown;
       ck_assert_int_eq (caller_answer_status (&answer),
                         unknown != 0 ? unknown : 504);
-      ck_assert_int_eq (caller_answer_retry_s (&answer), 0);
+      ck_assert_int_eq (caller_answer_retry_after_s (&answer), 0);
       answer.outcome = OUTCOME_NOT_RUN;
       int not_run = statuses[reason].not_run;
       ck_assert_int_eq (caller_answer_status (&answer),
                         not_run != 0 ? not_run : 503);
-      ck_assert_int_eq (caller_answer_retry_s (&answer), not_run == 0);
+      ck_assert_int_eq (caller_answer_retry_after_s (&answer), not_run == 0);
     }
   struct entry_answer answer
       = { .outcome = OUTCOME_NOT_RUN, .retry_after_ms = 1001 };
-  ck_assert_int_eq (caller_answer_retry_s (&answer), 2);
+  ck_assert_int_eq (caller_answer_retry_after_s (&answer), 2);
 }
 
 UNIT_MAIN ("http", .setup = setup, .teardown = teardown, .timeout_s = 30)
--- a/tests/unit/test_process.c
+++ b/tests/unit/test_process.c
@@ -40,14 +40,14 @@
   free (flag);
   operators = host_port (&host, "operators");
   callers = host_port (&host, "callers");
-  host_await (operators, "/readyz");
+  host_wait_ready (operators, "/readyz");
 }
 
 static void
 teardown (void)
 {
-  standin_end (&db);
-  platform_end (&platform);
+  standin_stop (&db);
+  platform_stop (&platform);
 }
 
 static int
@@ -65,7 +65,7 @@
 static void
 caller_send (int fd, const char *body)
 {
-  char *basic = http_client_basic ("c", SECRET);
+  char *basic = http_client_basic_auth ("c", SECRET);
   char *text = mem_printf ("POST /v1/statement HTTP/1.1\r\nHost: h\r\n"
                            "Authorization: %s\r\nContent-Length: %zu\r\n\r\n"
                            "%s",
@@ -107,16 +107,17 @@
   do /* until the primary is known */
     caller_send (fd, STATEMENT);
   while (caller_receive (fd, reply) != 200);
-  ck_assert_int_eq (host_ask (standin_port (&db, "control="), "POST", "/fault",
-                              "{\"instance\":\"*\",\"kind\":\"cost\","
-                              "\"value\":600}",
-                              NULL),
+  ck_assert_int_eq (host_request (standin_port (&db, "control="), "POST",
+                                  "/fault",
+                                  "{\"instance\":\"*\",\"kind\":\"cost\","
+                                  "\"value\":600}",
+                                  NULL),
                     200);
   caller_send (fd, STATEMENT);
   while (!in_flight)
     {
       ck_assert_int_eq (
-          host_ask (operators, "GET", "/v1/status", NULL, &status), 200);
+          host_request (operators, "GET", "/v1/status", NULL, &status), 200);
       in_flight = strstr (status, "\"in_flight\":1") != NULL;
       free (status);
     }
@@ -129,7 +130,7 @@
   int fd = send_slow_statement ();
   int other = caller_connect ();
   kill (host.pid, SIGTERM);
-  while (host_ask (operators, "GET", "/readyz", NULL, NULL) != 503)
+  while (host_request (operators, "GET", "/readyz", NULL, NULL) != 503)
     usleep (500);
   caller_send (other, STATEMENT);
   ck_assert_int_eq (caller_receive (other, reply), 503);
@@ -138,7 +139,7 @@
   int status = caller_receive (fd, reply);
   ck_assert_msg (status == 200, "%s", reply);
   ck_assert_ptr_nonnull (strstr (reply, "\"outcome\":\"done\""));
-  ck_assert_int_eq (host_wait (&host), 0);
+  ck_assert_int_eq (host_wait_exit (&host), 0);
   close (fd);
   close (other);
 }
@@ -148,11 +149,11 @@
   static char reply[REPLY_ROOM];
   int fd = send_slow_statement ();
   kill (host.pid, SIGTERM);
-  while (host_ask (operators, "GET", "/readyz", NULL, NULL) != 503)
+  while (host_request (operators, "GET", "/readyz", NULL, NULL) != 503)
     usleep (500);
   kill (host.pid, SIGTERM);
   ck_assert_int_eq (caller_receive (fd, reply), 0);
-  ck_assert_int_eq (host_wait (&host), 1);
+  ck_assert_int_eq (host_wait_exit (&host), 1);
   close (fd);
 }
 
@@ -185,17 +186,17 @@
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       char *text = NULL;
-      int status = host_ask (operators, cases[i].method, cases[i].path,
-                             cases[i].body, &text);
+      int status = host_request (operators, cases[i].method, cases[i].path,
+                                 cases[i].body, &text);
       ck_assert_msg (status == cases[i].status, "%s: %d %s", cases[i].path,
                      status, text);
       ck_assert_msg (strstr (text, cases[i].text) != NULL, "%s: %s",
                      cases[i].path, text);
       free (text);
     }
-  ck_assert_int_eq (host_ask (operators, "POST", "/v1/drain", NULL, NULL),
+  ck_assert_int_eq (host_request (operators, "POST", "/v1/drain", NULL, NULL),
                     202);
-  ck_assert_int_eq (host_wait (&host), 0);
+  ck_assert_int_eq (host_wait_exit (&host), 0);
 }
 
 UNIT_PLAIN (test_wrong_settings_start_nothing)
@@ -211,7 +212,7 @@
   struct host wrong;
   host_start (&wrong, argv);
   int output = dup (wrong.output);
-  ck_assert_int_eq (host_wait (&wrong), 2);
+  ck_assert_int_eq (host_wait_exit (&wrong), 2);
   wrong.output = output;
   host_output (&wrong, text);
   for (size_t i = 0; i < sizeof places / sizeof places[0]; i++)
@@ -230,7 +231,7 @@
   struct host second;
   host_start (&second, argv);
   int output = dup (second.output);
-  ck_assert_int_eq (host_wait (&second), 1);
+  ck_assert_int_eq (host_wait_exit (&second), 1);
   second.output = output;
   host_output (&second, text);
   ck_assert_ptr_nonnull (strstr (text, "listen_failed interface=callers"));
@@ -239,7 +240,7 @@
   free (caller_flag);
   free (operator_flag);
   kill (host.pid, SIGTERM);
-  ck_assert_int_eq (host_wait (&host), 0);
+  ck_assert_int_eq (host_wait_exit (&host), 0);
 }
 
 UNIT_MAIN ("process", .setup = setup, .teardown = teardown,
--- a/tests/unit/test_serve.c
+++ b/tests/unit/test_serve.c
@@ -194,7 +194,7 @@
 tear_down (void)
 {
   stop_host ();
-  standin_end (&fleet);
+  standin_stop (&fleet);
 }
 
 UNIT_TEST (test_a_session_writes_and_reads_its_write)
--- a/tests/unit/test_sim.c
+++ b/tests/unit/test_sim.c
@@ -156,7 +156,7 @@
   submit (conn, DB_WRITE, "put k v", "id", 1, 0);
   run_for (10);
   ck_assert_int_eq (seen.last.status, DB_LOST);
-  ck_assert_uint_eq (sim_instance_puts (primary, "k"), 1);
+  ck_assert_uint_eq (sim_instance_count_puts (primary, "k"), 1);
   ck_assert_uint_eq (seen.closed, 2);
   tear_down ();
 }
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -285,7 +285,7 @@
   sync_publish_term (control.syncs[1], "t/s/d");
   sim_run (&control.sim, 300);
   ck_assert_ptr_null (terms_get (control.terms[0], "t/s/d"));
-  sim_control_list (&control);
+  sim_control_publish_hosts (&control);
   sim_run (&control.sim, 3000);
   sync_publish_term (control.syncs[1], "t/s/d");
   sim_run (&control.sim, 300);
