--- a/tests/standin/platform_standin.c
+++ b/tests/standin/platform_standin.c
@@ -1,19 +1,19 @@
-/* platform_standin - a stand-in for the platform's key-value service.
+/* platform_standin - stand-in for the platform's key-value service.
 
-   Speaks the part of Consul's HTTP API that savoryway uses: /v1/kv,
+   It implements the part of Consul's HTTP API that savoryway uses: /v1/kv,
    /v1/txn, /v1/session, /v1/health/service and /v1/agent/service, with
-   blocking queries.  Faults are set with PUT /control?NAME=VALUE:
+   blocking queries.  PUT /control?NAME=VALUE sets faults; 0 turns one off:
 
-     outage=1         refuses every call with 503; 2: never answers
-     slow_ms=N        delays every answer
-     lose=N           drops the connection instead of the next N answers to
-                      writes, after they took effect
-     host_lag_ms=N    delays changes of the host list
-     reads_per_s=N, writes_per_s=N    refuses calls beyond with 429
+     outage=1         refuses every call with 503; with 2, never answers
+     slow_ms=N        delays every answer by N ms
+     lose=N           closes the connection instead of answering, for the next
+                      N writes, after they took effect
+     host_lag_ms=N    delays changes of the host list by N ms
+     reads_per_s=N, writes_per_s=N    refuses calls above this rate with 429
 
-   GET /control shows these and the number of calls by kind.  Prints
-   "port=P" when ready; the port may be given as argument.  Ends with its
-   standard input.  */
+   GET /control returns these settings and the number of calls by kind.  The
+   process prints "port=P" when it is ready; the port may be given as an
+   argument.  It ends on SIGTERM, SIGINT or when standard input closes.  */
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -32,10 +32,11 @@
 #include "platform_store.h"
 #include "standin_control.h"
 
-#define TICK_US 20000
+/* Interval of the check for expired sessions and blocking queries.  */
+#define TICK_INTERVAL_US 20000
 #define BODY_LIMIT_BYTES 8388608
-#define DEFAULT_WAIT_MS 300000
-#define HTTP_REFUSED 429
+#define DEFAULT_WAIT_MS 300000 /* of a blocking query, as in Consul */
+#define HTTP_TOO_MANY_REQUESTS 429
 #define HTTP_CONFLICT 409
 
 enum setting
@@ -58,7 +59,7 @@
   CALL_GET,
   CALL_LIST,
   CALL_HOSTS,
-  CALL_WATCH, /* a get, list or hosts that waits; counted once */
+  CALL_WATCH, /* a blocking get, list or hosts; counted once */
   CALL_WRITE,
   CALL_SESSION,
   CALL_REGISTER,
@@ -72,18 +73,20 @@
   "session", "register", "refused", "lost",
 };
 
-/* A read that waits for a change.  */
-struct waiting
+/* A read that is answered once its result changes.  A read without an index is
+   answered at once.  */
+struct blocking_query
 {
   struct evhttp_request *request;
   char *key; /* NULL for the host list */
   bool recurse;
-  uint64_t index;
+  uint64_t index; /* answered when the result has a higher one */
   int64_t until_ms;
-  struct waiting *next;
+  struct blocking_query *next;
 };
 
-struct answer
+/* A reply that slow_ms delays.  */
+struct delayed_reply
 {
   struct evhttp_request *request;
   int code;
@@ -91,11 +94,11 @@
 
 static struct event_base *base;
 static struct store *store;
-static struct waiting *waiting;
+static struct blocking_query *blocking_queries;
 static int64_t settings[SET_COUNT];
 static int64_t calls[CALL_COUNT];
-static int64_t second;
-static int64_t used_reads, used_writes;
+static int64_t current_second;
+static int64_t reads_this_second, writes_this_second;
 
 static int64_t
 now_ms (void)
@@ -106,22 +109,23 @@
 }
 
 static void
-send_now (struct evhttp_request *request, int code)
+send_reply (struct evhttp_request *request, int code)
 {
   evhttp_send_reply (request, code, NULL, NULL);
 }
 
 static void
-send_late (evutil_socket_t fd, short events, void *arg)
+on_reply_delay (evutil_socket_t fd, short events, void *arg)
 {
   (void)fd;
   (void)events;
-  struct answer *answer = arg;
-  send_now (answer->request, answer->code);
-  free (answer);
+  struct delayed_reply *delayed = arg;
+  send_reply (delayed->request, delayed->code);
+  free (delayed);
 }
 
-/* Sends BODY (released here; may be NULL) after the delay in force.  */
+/* Sends BODY, which may be NULL, after the delay that slow_ms sets.  Releases
+   BODY.  INDEX 0 sends no index.  */
 static void
 reply (struct evhttp_request *request, int code, json_t *body, uint64_t index)
 {
@@ -138,17 +142,17 @@
   json_decref (body);
   if (settings[SET_SLOW_MS] == 0)
     {
-      send_now (request, code);
+      send_reply (request, code);
       return;
     }
-  struct answer *answer = mem_zalloc (sizeof *answer);
-  *answer = (struct answer){ .request = request, .code = code };
+  struct delayed_reply *delayed = mem_zalloc (sizeof *delayed);
+  *delayed = (struct delayed_reply){ .request = request, .code = code };
   struct timeval delay = { .tv_sec = settings[SET_SLOW_MS] / 1000,
                            .tv_usec = settings[SET_SLOW_MS] % 1000 * 1000 };
-  event_base_once (base, -1, EV_TIMEOUT, send_late, answer, &delay);
+  event_base_once (base, -1, EV_TIMEOUT, on_reply_delay, delayed, &delay);
 }
 
-/* Answers a write, or breaks its connection if that was asked for.  */
+/* Answers a write, or closes its connection if the fault "lose" is set.  */
 static void
 reply_write (struct evhttp_request *request, int code, json_t *body)
 {
@@ -163,72 +167,80 @@
   reply (request, code, body, 0);
 }
 
-/* Counts the call; whether it may run.  Otherwise it has been answered.  */
+/* Counts the call and returns whether it may run.  A call that may not has
+   been answered, or never is (outage=2).  */
 static bool
 admit (struct evhttp_request *request, enum call_kind kind)
 {
   bool write = kind >= CALL_WRITE;
-  int64_t *used = write ? &used_writes : &used_reads;
+  int64_t *calls_this_second
+      = write ? &writes_this_second : &reads_this_second;
   int64_t limit = settings[write ? SET_WRITES_PER_S : SET_READS_PER_S];
-  if (now_ms () / 1000 != second)
+  if (now_ms () / 1000 != current_second)
     {
-      second = now_ms () / 1000;
-      used_reads = used_writes = 0;
+      current_second = now_ms () / 1000;
+      reads_this_second = writes_this_second = 0;
     }
   calls[kind]++;
   if (settings[SET_OUTAGE] == 2)
-    return false; /* left unanswered */
-  (*used)++;
-  if (settings[SET_OUTAGE] == 0 && (limit == 0 || *used <= limit))
+    return false;
+  (*calls_this_second)++;
+  if (settings[SET_OUTAGE] == 0 && (limit == 0 || *calls_this_second <= limit))
     return true;
   calls[CALL_REFUSED]++;
-  reply (request, settings[SET_OUTAGE] ? HTTP_SERVUNAVAIL : HTTP_REFUSED, NULL,
-         0);
+  reply (request,
+         settings[SET_OUTAGE] ? HTTP_SERVUNAVAIL : HTTP_TOO_MANY_REQUESTS,
+         NULL, 0);
   return false;
 }
 
+/* Returns the index of the result of QUERY, and appends the result to ARRAY
+   unless that is NULL.  */
 static uint64_t
-read_for (const struct waiting *w, json_t *array)
+run_query (const struct blocking_query *query, json_t *array)
 {
-  if (w->key == NULL)
+  if (query->key == NULL)
     return store_hosts (store, array);
-  return store_read (store, w->key, w->recurse, array);
+  return store_read (store, query->key, query->recurse, array);
 }
 
 static void
-reply_read (struct waiting *w)
+reply_query (struct blocking_query *query)
 {
   json_t *array = json_array ();
-  uint64_t index = read_for (w, array);
-  bool missing = w->key != NULL && json_array_size (array) == 0;
-  reply (w->request, missing ? HTTP_NOTFOUND : HTTP_OK, array, index);
-  free (w->key);
-  free (w);
+  uint64_t index = run_query (query, array);
+  bool missing = query->key != NULL && json_array_size (array) == 0;
+  reply (query->request, missing ? HTTP_NOTFOUND : HTTP_OK, array, index);
+  free (query->key);
+  free (query);
 }
 
+/* Answers the blocking queries whose result changed or whose wait is over.  */
 static void
-serve_waiting (void)
+answer_blocking_queries (void)
 {
-  for (struct waiting **at = &waiting; *at != NULL;)
+  for (struct blocking_query **at = &blocking_queries; *at != NULL;)
     {
-      struct waiting *w = *at;
-      if (w->until_ms > now_ms () && read_for (w, NULL) <= w->index)
+      struct blocking_query *query = *at;
+      if (query->until_ms > now_ms ()
+          && run_query (query, NULL) <= query->index)
         {
-          at = &w->next;
+          at = &query->next;
           continue;
         }
-      *at = w->next;
-      reply_read (w);
+      *at = query->next;
+      reply_query (query);
     }
 }
 
 static const char *
-query (const struct evkeyvalq *params, const char *name)
+param_value (const struct evkeyvalq *params, const char *name)
 {
   const char *value = evhttp_find_header (params, name);
   return value != NULL ? value : "";
 }
 
+/* Parses a duration as Consul writes it: a number with "s", "m" or "ms".  */
 static int64_t
 parse_wait_ms (const char *text)
 {
@@ -241,35 +253,35 @@
   return strcmp (unit, "m") == 0 ? number * 60000 : number;
 }
 
-/* Serves a read of KEY, or of the host list if it is NULL.  */
+/* Handles a read of KEY, or of the host list if KEY is NULL.  */
 static void
 on_read (struct evhttp_request *request, const char *key,
          const struct evkeyvalq *params)
 {
-  struct waiting *w = mem_zalloc (sizeof *w);
-  w->request = request;
-  w->key = mem_strdup (key);
-  w->recurse = evhttp_find_header (params, "recurse") != NULL;
-  w->index = strtoull (query (params, "index"), NULL, 10);
-  w->until_ms = now_ms () + parse_wait_ms (query (params, "wait"));
-  enum call_kind kind = key == NULL  ? CALL_HOSTS
-                        : w->recurse ? CALL_LIST
-                                     : CALL_GET;
-  if (!admit (request, w->index > 0 ? CALL_WATCH : kind))
+  struct blocking_query *query = mem_zalloc (sizeof *query);
+  query->request = request;
+  query->key = mem_strdup (key);
+  query->recurse = evhttp_find_header (params, "recurse") != NULL;
+  query->index = strtoull (param_value (params, "index"), NULL, 10);
+  query->until_ms = now_ms () + parse_wait_ms (param_value (params, "wait"));
+  enum call_kind kind = key == NULL      ? CALL_HOSTS
+                        : query->recurse ? CALL_LIST
+                                         : CALL_GET;
+  if (!admit (request, query->index > 0 ? CALL_WATCH : kind))
     {
-      free (w->key);
-      free (w);
+      free (query->key);
+      free (query);
       return;
     }
-  w->next = waiting;
-  waiting = w;
-  if (w->index == 0)
-    w->until_ms = 0;
-  serve_waiting ();
+  query->next = blocking_queries;
+  blocking_queries = query;
+  if (query->index == 0)
+    query->until_ms = 0;
+  answer_blocking_queries ();
 }
 
 static json_t *
-body_of (struct evhttp_request *request)
+parse_body (struct evhttp_request *request)
 {
   struct evbuffer *in = evhttp_request_get_input_buffer (request);
   size_t length = evbuffer_get_length (in);
@@ -285,12 +297,12 @@
                                [STORE_TOO_LARGE] = HTTP_ENTITYTOOLARGE };
   if (!admit (request, CALL_WRITE))
     return;
-  json_t *body = body_of (request);
+  json_t *body = parse_body (request);
   json_t *answer = NULL;
   enum store_status status = store_txn (store, body, &answer);
   json_decref (body);
   reply_write (request, codes[status], answer);
-  serve_waiting ();
+  answer_blocking_queries ();
 }
 
 static void
@@ -302,7 +314,7 @@
   if (strcmp (rest, "create") == 0)
     {
       const char *ttl = "";
-      json_t *body = body_of (request);
+      json_t *body = parse_body (request);
       json_unpack (body, "{s:s}", "TTL", &ttl);
       int64_t ttl_ms = parse_wait_ms (ttl);
       json_decref (body);
@@ -313,15 +325,15 @@
     }
   else if (strncmp (rest, "renew/", strlen ("renew/")) == 0)
     {
-      bool lives = store_session_renew (store, id + 1, now_ms ());
-      reply_write (request, lives ? HTTP_OK : HTTP_NOTFOUND, NULL);
+      bool exists = store_session_renew (store, id + 1, now_ms ());
+      reply_write (request, exists ? HTTP_OK : HTTP_NOTFOUND, NULL);
     }
   else
     {
       if (id != NULL)
         store_session_destroy (store, id + 1);
       reply_write (request, HTTP_OK, json_true ());
-      serve_waiting ();
+      answer_blocking_queries ();
     }
 }
 
@@ -331,16 +343,16 @@
   if (!admit (request, CALL_REGISTER))
     return;
   int64_t visible_ms = now_ms () + settings[SET_HOST_LAG_MS];
-  json_t *body = body_of (request);
+  json_t *body = parse_body (request);
   const char *id = NULL;
   if (strncmp (rest, "deregister/", strlen ("deregister/")) == 0)
-    store_host (store, rest + strlen ("deregister/"), NULL, visible_ms);
+    store_set_host (store, rest + strlen ("deregister/"), NULL, visible_ms);
   else if (json_unpack (body, "{s:s}", "ID", &id) == 0)
-    store_host (store, id, body, visible_ms);
+    store_set_host (store, id, body, visible_ms);
   store_tick (store, now_ms ());
   json_decref (body);
   reply_write (request, HTTP_OK, NULL);
-  serve_waiting ();
+  answer_blocking_queries ();
 }
 
 static void
@@ -363,11 +375,12 @@
                 strlen (json));
   free (json);
   json_decref (body);
-  send_now (request, HTTP_OK);
+  send_reply (request, HTTP_OK);
 }
 
+/* Returns the rest of PATH after PREFIX; NULL if it starts otherwise.  */
 static const char *
-after (const char *path, const char *prefix)
+path_below (const char *path, const char *prefix)
 {
   size_t length = strlen (prefix);
   return strncmp (path, prefix, length) == 0 ? path + length : NULL;
@@ -387,18 +400,18 @@
   char *decoded = evhttp_uridecode (path, 0, NULL);
   if (strcmp (decoded, "/control") == 0)
     on_control (request, &params);
-  else if (!put && (rest = after (decoded, "/v1/kv/")) != NULL)
+  else if (!put && (rest = path_below (decoded, "/v1/kv/")) != NULL)
     on_read (request, rest, &params);
   else if (!put && strcmp (decoded, "/v1/health/service/savoryway") == 0)
     on_read (request, NULL, &params);
   else if (put && strcmp (decoded, "/v1/txn") == 0)
     on_txn (request);
-  else if (put && (rest = after (decoded, "/v1/session/")) != NULL)
+  else if (put && (rest = path_below (decoded, "/v1/session/")) != NULL)
     on_session (request, rest);
-  else if (put && (rest = after (decoded, "/v1/agent/service/")) != NULL)
+  else if (put && (rest = path_below (decoded, "/v1/agent/service/")) != NULL)
     on_agent (request, rest);
   else
-    send_now (request, HTTP_NOTFOUND);
+    send_reply (request, HTTP_NOTFOUND);
   free (decoded);
   evhttp_clear_headers (&params);
 }
@@ -412,10 +425,11 @@
   uint64_t before = store_index (store);
   bool due = false;
   store_tick (store, now_ms ());
-  for (struct waiting *w = waiting; w != NULL; w = w->next)
-    due = due || w->until_ms <= now_ms ();
+  for (struct blocking_query *query = blocking_queries; query != NULL;
+       query = query->next)
+    due = due || query->until_ms <= now_ms ();
   if (due || store_index (store) != before)
-    serve_waiting ();
+    answer_blocking_queries ();
 }
 
 static uint16_t
@@ -432,7 +446,7 @@
 main (int argc, char **argv)
 {
   uint16_t port = argc > 1 ? (uint16_t)strtoul (argv[1], NULL, 10) : 0;
-  struct timeval tick = { .tv_usec = TICK_US };
+  struct timeval tick = { .tv_usec = TICK_INTERVAL_US };
   signal (SIGPIPE, SIG_IGN);
   base = event_base_new ();
   store = store_new ();
--- a/tests/standin/platform_store.c
+++ b/tests/standin/platform_store.c
@@ -13,11 +13,11 @@
 struct entry
 {
   char *key;
-  char *value; /* base64, as it came */
+  char *value; /* base64, as received */
   char session[SESSION_ID_BYTES];
   uint64_t create_index;
   uint64_t modify_index;
-  bool erased; /* kept for its index */
+  bool deleted; /* kept, since its index counts in reads */
   UT_hash_handle hh;
 };
 
@@ -25,15 +25,15 @@
 {
   char id[SESSION_ID_BYTES];
   int64_t ttl_ms;
-  int64_t ends_ms;
+  int64_t expires_at_ms;
   UT_hash_handle hh;
 };
 
-/* A change of the host list on its way to being seen.  */
+/* A change of the host list that reads don't show yet.  */
 struct pending_host
 {
   char *id;
-  json_t *service;
+  json_t *service; /* NULL removes the host */
   int64_t visible_ms;
   struct pending_host *next;
 };
@@ -47,7 +47,7 @@
   uint64_t hosts_index;
   uint64_t index;
   uint64_t next_session;
-  bool sorted;
+  bool sorted; /* entries are in the order of their keys */
 };
 
 struct store *
@@ -112,7 +112,7 @@
 }
 
 static int
-by_key (struct entry *a, struct entry *b)
+compare_keys (struct entry *a, struct entry *b)
 {
   return strcmp (a->key, b->key);
 }
@@ -123,7 +123,7 @@
   size_t length = strlen (key);
   uint64_t index = 1;
   if (recurse && !store->sorted)
-    HASH_SORT (store->entries, by_key);
+    HASH_SORT (store->entries, compare_keys);
   store->sorted = store->sorted || recurse;
   struct entry *entry = store->entries;
   if (!recurse)
@@ -134,30 +134,31 @@
         continue;
       if (entry->modify_index > index)
         index = entry->modify_index;
-      if (!entry->erased && array != NULL)
+      if (!entry->deleted && array != NULL)
         json_array_append_new (array, entry_json (entry, true));
     }
   return index;
 }
 
+/* Returns the entry of KEY; NULL if there is none or it is deleted.  */
 static struct entry *
-find_live (struct store *store, const char *key)
+find_entry (struct store *store, const char *key)
 {
   struct entry *entry = NULL;
   HASH_FIND_STR (store->entries, key, entry);
-  return entry != NULL && !entry->erased ? entry : NULL;
+  return entry != NULL && !entry->deleted ? entry : NULL;
 }
 
 static void
-erase (struct store *store, struct entry *entry)
+delete_entry (struct store *store, struct entry *entry)
 {
-  entry->erased = true;
+  entry->deleted = true;
   entry->session[0] = '\0';
   entry->modify_index = store->index;
 }
 
 static struct entry *
-put (struct store *store, const char *key, const char *value)
+put_entry (struct store *store, const char *key, const char *value)
 {
   struct entry *entry = NULL;
   HASH_FIND_STR (store->entries, key, entry);
@@ -165,20 +166,20 @@
     {
       entry = mem_zalloc (sizeof *entry);
       entry->key = mem_strdup (key);
-      entry->erased = true;
+      entry->deleted = true;
       HASH_ADD_KEYPTR (hh, store->entries, entry->key, strlen (key), entry);
       store->sorted = false;
     }
-  if (entry->erased)
+  if (entry->deleted)
     entry->create_index = store->index;
   free (entry->value);
   entry->value = mem_strdup (value);
-  entry->erased = false;
+  entry->deleted = false;
   entry->modify_index = store->index;
   return entry;
 }
 
-/* One operation of a transaction.  */
+/* An operation of a transaction.  */
 struct operation
 {
   const char *verb;
@@ -213,7 +214,7 @@
 }
 
 static bool
-session_lives (struct store *store, const char *id)
+session_exists (struct store *store, const char *id)
 {
   struct session *session = NULL;
   HASH_FIND_STR (store->sessions, id, session);
@@ -223,39 +224,39 @@
 static enum store_status
 check_operation (struct store *store, const struct operation *operation)
 {
-  struct entry *entry = find_live (store, operation->key);
-  bool holds;
+  struct entry *entry = find_entry (store, operation->key);
+  bool satisfied;
   if (strcmp (operation->verb, "cas") == 0)
-    holds = entry == NULL ? operation->index == 0
-                          : entry->modify_index == operation->index;
+    satisfied = entry == NULL ? operation->index == 0
+                              : entry->modify_index == operation->index;
   else if (strcmp (operation->verb, "check-index") == 0)
-    holds = entry != NULL && entry->modify_index == operation->index;
+    satisfied = entry != NULL && entry->modify_index == operation->index;
   else if (strcmp (operation->verb, "check-not-exists") == 0)
-    holds = entry == NULL;
+    satisfied = entry == NULL;
   else if (strcmp (operation->verb, "lock") == 0)
-    holds = session_lives (store, operation->session)
-            && (entry == NULL || entry->session[0] == '\0'
-                || strcmp (entry->session, operation->session) == 0);
+    satisfied = session_exists (store, operation->session)
+                && (entry == NULL || entry->session[0] == '\0'
+                    || strcmp (entry->session, operation->session) == 0);
   else if (strcmp (operation->verb, "delete") == 0)
-    holds = true;
+    satisfied = true;
   else
     return STORE_MALFORMED;
-  return holds ? STORE_OK : STORE_CONFLICT;
+  return satisfied ? STORE_OK : STORE_CONFLICT;
 }
 
 static void
 run_operation (struct store *store, const struct operation *operation,
                json_t *results)
 {
-  struct entry *entry = find_live (store, operation->key);
+  struct entry *entry = find_entry (store, operation->key);
   if (strncmp (operation->verb, "delete", strlen ("delete")) == 0)
     {
       if (entry != NULL)
-        erase (store, entry);
+        delete_entry (store, entry);
       return;
     }
   if (strncmp (operation->verb, "check", strlen ("check")) != 0)
-    entry = put (store, operation->key, operation->value);
+    entry = put_entry (store, operation->key, operation->value);
   if (strcmp (operation->verb, "lock") == 0)
     snprintf (entry->session, sizeof entry->session, "%s", operation->session);
   if (entry != NULL)
@@ -263,9 +264,10 @@
         results, json_pack ("{s:o}", "KV", entry_json (entry, false)));
 }
 
-/* Fails with the place of the first operation that does not hold.  */
+/* Checks all operations.  On a failure, *ANSWER gets the index of the first
+   one that is invalid or whose condition is not met.  */
 static enum store_status
-check_all (struct store *store, json_t *operations, json_t **answer)
+check_operations (struct store *store, json_t *operations, json_t **answer)
 {
   for (size_t i = 0; i < json_array_size (operations); i++)
     {
@@ -290,7 +292,7 @@
   *answer = NULL;
   if (!json_is_array (operations) || json_array_size (operations) == 0)
     return STORE_MALFORMED;
-  enum store_status status = check_all (store, operations, answer);
+  enum store_status status = check_operations (store, operations, answer);
   if (status != STORE_OK)
     return status;
   store->index++;
@@ -312,7 +314,7 @@
   snprintf (session->id, sizeof session->id, "00000000-0000-0000-0000-%012llu",
             (unsigned long long)(++store->next_session % 1000000000000));
   session->ttl_ms = ttl_ms;
-  session->ends_ms = now_ms + ttl_ms;
+  session->expires_at_ms = now_ms + ttl_ms;
   HASH_ADD_STR (store->sessions, id, session);
   return session->id;
 }
@@ -324,7 +326,7 @@
   HASH_FIND_STR (store->sessions, id, session);
   if (session == NULL)
     return false;
-  session->ends_ms = now_ms + session->ttl_ms;
+  session->expires_at_ms = now_ms + session->ttl_ms;
   return true;
 }
 
@@ -337,16 +339,16 @@
     return false;
   store->index++;
   for (struct entry *e = store->entries; e != NULL; e = e->hh.next)
-    if (!e->erased && strcmp (e->session, session->id) == 0)
-      erase (store, e);
+    if (!e->deleted && strcmp (e->session, session->id) == 0)
+      delete_entry (store, e);
   HASH_DEL (store->sessions, session);
   free (session);
   return true;
 }
 
 void
-store_host (struct store *store, const char *id, json_t *service,
-            int64_t visible_ms)
+store_set_host (struct store *store, const char *id, json_t *service,
+                int64_t visible_ms)
 {
   struct pending_host *pending = mem_zalloc (sizeof *pending);
   struct pending_host **tail = &store->pending;
@@ -370,7 +372,7 @@
 }
 
 static void
-show_host (struct store *store, struct pending_host *pending)
+publish_host (struct store *store, struct pending_host *pending)
 {
   store->hosts_index = ++store->index;
   if (pending->service == NULL)
@@ -388,13 +390,13 @@
 {
   struct session *session, *next;
   HASH_ITER (hh, store->sessions, session, next)
-  if (session->ends_ms <= now_ms)
+  if (session->expires_at_ms <= now_ms)
     store_session_destroy (store, session->id);
   while (store->pending != NULL && store->pending->visible_ms <= now_ms)
     {
       struct pending_host *pending = store->pending;
       store->pending = pending->next;
-      show_host (store, pending);
+      publish_host (store, pending);
       free (pending->id);
       json_decref (pending->service);
       free (pending);
--- a/tests/standin/standin_control.c
+++ b/tests/standin/standin_control.c
@@ -12,7 +12,7 @@
 
 #include "kernel/mem.h"
 
-/* One control port a process.  */
+/* The only control port of the process.  */
 static struct
 {
   standin_handler handler;
@@ -91,7 +91,8 @@
       = event_new (base, STDIN_FILENO, EV_READ | EV_PERSIST, on_stdin, base);
   event_add (term, NULL);
   event_add (interrupt, NULL);
-  /* A regular file or /dev/null can't be watched; then signals end it.  */
+  /* epoll does not accept a regular file or /dev/null.  With one of these as
+     standard input, only signals end the process.  */
   if (fstat (STDIN_FILENO, &status) == 0
       && (S_ISFIFO (status.st_mode) || S_ISSOCK (status.st_mode)
           || isatty (STDIN_FILENO)))
--- a/tests/standin/standin_host.h
+++ b/tests/standin/standin_host.h
@@ -1,5 +1,8 @@
-/* standin_host - starts savoryway from the build directory, and fills the
-   stand-in of the platform, for a test or a measurement.  */
+/* standin_host - starts savoryway from the build directory as a host, and
+   fills the stand-in of the platform, for a test or a benchmark.
+
+   A host is killed when this process exits.  A failure of a function here ends
+   this process, unless the function returns a status.  */
 
 #ifndef STANDIN_HOST_H
 #define STANDIN_HOST_H
@@ -13,18 +16,18 @@
 #include "kernel/mem.h"
 #include "standin_spawn.h"
 
-#define HOST_WAIT_MS 10000
+#define HOST_WAIT_MS 10000 /* limit for a start or a change of state */
 #define HOST_OUTPUT_BYTES 65536
-#define HOST_LIMIT 8
+#define HOST_LIMIT 8 /* hosts that run at the same time */
 
-/* Keys of all hosts that are started.  */
+/* Token key and RPC secret of all hosts.  */
 #define HOST_KEY                                                              \
   "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
 struct host
 {
   pid_t pid;
-  int output; /* file that holds what it wrote */
+  int output; /* temporary file with its standard output and error */
 };
 
 static inline double
@@ -35,38 +38,38 @@
   return (double)now.tv_sec * 1e3 + (double)now.tv_nsec / 1e6;
 }
 
-/* Hosts that run; they are ended when this process exits.  */
-static pid_t host_running[HOST_LIMIT];
+/* Running hosts, killed when this process exits; 0 is a free entry.  */
+static pid_t host_pids[HOST_LIMIT];
 
-/* Puts REPLACEMENT in the place of PID; 0 is a free place.  */
+/* Replaces the entry PID in the list of running hosts by REPLACEMENT.  */
 static inline void
-host_note (pid_t pid, pid_t replacement)
+host_replace_pid (pid_t pid, pid_t replacement)
 {
   for (size_t i = 0; i < HOST_LIMIT; i++)
-    if (host_running[i] == pid)
+    if (host_pids[i] == pid)
       {
-        host_running[i] = replacement;
+        host_pids[i] = replacement;
         return;
       }
 }
 
 static inline void
-host_end_all (void)
+host_kill_all (void)
 {
   for (size_t i = 0; i < HOST_LIMIT; i++)
-    if (host_running[i] > 0)
-      kill (host_running[i], SIGKILL);
+    if (host_pids[i] > 0)
+      kill (host_pids[i], SIGKILL);
 }
 
 static inline void
-host_end_on_signal (int number)
+host_kill_on_signal (int number)
 {
   (void)number;
-  host_end_all ();
+  host_kill_all ();
   _exit (EXIT_FAILURE);
 }
 
-/* Starts "savoryway ARGV[1]..."; ARGV[0] is filled in.  */
+/* Starts "savoryway ARGV[1]...", and sets ARGV[0].  */
 static inline void
 host_start (struct host *host, char **argv)
 {
@@ -76,14 +79,14 @@
   standin_require (host->output >= 0, "open");
   host->pid = standin_start ("savoryway", argv,
                              (const int[]){ -1, host->output, host->output });
-  atexit (host_end_all);
-  signal (SIGTERM, host_end_on_signal);
-  signal (SIGINT, host_end_on_signal);
-  signal (SIGPIPE, host_end_on_signal);
-  host_note (0, host->pid);
+  atexit (host_kill_all);
+  signal (SIGTERM, host_kill_on_signal);
+  signal (SIGINT, host_kill_on_signal);
+  signal (SIGPIPE, host_kill_on_signal);
+  host_replace_pid (0, host->pid);
 }
 
-/* Copies what the host wrote so far to TEXT.  */
+/* Copies the output of the host so far to TEXT.  */
 static inline void
 host_output (const struct host *host, char text[HOST_OUTPUT_BYTES])
 {
@@ -91,15 +94,15 @@
   text[length > 0 ? length : 0] = '\0';
 }
 
-/* Waits until the host listens, and returns the port of INTERFACE.  */
+/* Waits until the host logs that INTERFACE listens, and returns its port.  */
 static inline uint16_t
 host_port (const struct host *host, const char *interface)
 {
   char text[HOST_OUTPUT_BYTES];
   char key[64];
-  double until_ms = host_now_ms () + HOST_WAIT_MS;
+  double deadline_ms = host_now_ms () + HOST_WAIT_MS;
   snprintf (key, sizeof key, "interface=%s ", interface);
-  while (host_now_ms () < until_ms)
+  while (host_now_ms () < deadline_ms)
     {
       host_output (host, text);
       char *line = strstr (text, key);
@@ -113,8 +116,9 @@
   return 0;
 }
 
-/* Asks PATH of a listener.  Returns the HTTP status, 0 without an answer;
-   TEXT, if not NULL, gets the body, to be freed.  */
+/* Sends an HTTP request to the loopback port PORT.  Returns the HTTP status, 0
+   if there is no answer.  *TEXT, unless TEXT is NULL, gets the body, which the
+   caller frees.  */
 static inline int
 host_request (uint16_t port, const char *method, const char *path,
               const char *body, char **text)
@@ -135,31 +139,31 @@
   return status;
 }
 
-/* Waits until PATH of a listener is answered with 200.  */
+/* Waits until a GET of PATH returns 200.  */
 static inline void
 host_wait_ready (uint16_t port, const char *path)
 {
-  double until_ms = host_now_ms () + HOST_WAIT_MS;
+  double deadline_ms = host_now_ms () + HOST_WAIT_MS;
   while (host_request (port, "GET", path, NULL, NULL) != 200)
     {
-      standin_require (host_now_ms () < until_ms, path);
+      standin_require (host_now_ms () < deadline_ms, path);
       usleep (500);
     }
 }
 
-/* Returns the exit status of the host, once it has ended; -1 if a signal
+/* Waits for the end of the host.  Returns its exit status, -1 if a signal
    ended it.  */
 static inline int
 host_wait_exit (struct host *host)
 {
   int status = 0;
   waitpid (host->pid, &status, 0);
-  host_note (host->pid, 0);
+  host_replace_pid (host->pid, 0);
   close (host->output);
   return WIFEXITED (status) ? WEXITSTATUS (status) : -1;
 }
 
-/* Ends the stand-in of the platform.  */
+/* Stops the stand-in of the platform.  */
 static inline void
 platform_stop (struct standin *platform)
 {
@@ -167,6 +171,7 @@
   standin_stop (platform);
 }
 
+/* Creates KEY in the store of the platform; it must not exist.  */
 static inline void
 platform_put_key (uint16_t platform, const char *key, const char *value)
 {
@@ -181,9 +186,9 @@
   free (body);
 }
 
-/* Gives the platform a team "bench" with a service "ledger" on the database
-   group DB: a caller "c" with SECRET, kinds "read" (of the
-   session), "strong" (a read) and "write".  */
+/* Stores the configuration of a team "bench" with a service "ledger" on the
+   database group DB: a caller "c" with SECRET, and the kinds "read" (with
+   session consistency), "strong" (a strong read) and "write".  */
 static inline void
 platform_put_team (uint16_t platform, const struct standin *db,
                    const char *secret)
@@ -213,7 +218,7 @@
   free (team);
 }
 
-/* Lists a host in the platform.  */
+/* Adds a host to the host list of the platform.  */
 static inline void
 platform_put_host (uint16_t platform, const char *name, const char *domain,
                    uint16_t port, const char *incarnation)
--- a/tests/standin/standin_spawn.h
+++ b/tests/standin/standin_spawn.h
@@ -1,8 +1,9 @@
-/* standin_spawn - starts a stand-in from the build directory for a test or
-   a measurement.
+/* standin_spawn - starts a stand-in from the build directory, for a test or a
+   benchmark.
 
-   The stand-in ends when the caller's end of its standard input closes, so
-   also when the caller fails.  A failure to start ends the caller.  */
+   The standard input of a stand-in is a pipe from the caller.  The stand-in
+   ends when the pipe closes, so also when the caller crashes.  A failure to
+   start ends the caller with an error message.  */
 
 #ifndef STANDIN_SPAWN_H
 #define STANDIN_SPAWN_H
@@ -20,12 +21,13 @@
 struct standin
 {
   pid_t pid;
-  int input;
-  char line[512]; /* "control=PORT ..." */
+  int input;      /* write end of the pipe that is its standard input */
+  char line[512]; /* ready line, such as "control=PORT ..." */
 };
 
 extern char **environ;
 
+/* Ends this process with a message about WHAT unless CONDITION is true.  */
 static inline void
 standin_require (bool condition, const char *what)
 {
@@ -35,8 +37,8 @@
   exit (EXIT_FAILURE);
 }
 
-/* Starts PROGRAM, from the directory of this one, with the standard streams
-   FD, -1 for those of this process; ARGV[0] is filled in.  */
+/* Starts PROGRAM from the directory of this program and sets ARGV[0].  FD are
+   its standard input, output and error; -1 is that of this process.  */
 static inline pid_t
 standin_start (const char *program, char **argv, const int fd[3])
 {
@@ -58,6 +60,7 @@
   return pid;
 }
 
+/* Starts the stand-in PROGRAM and reads its ready line.  */
 static inline void
 standin_spawn (struct standin *standin, const char *program, char **argv)
 {
@@ -69,13 +72,13 @@
   close (in[0]);
   close (out[1]);
   standin->input = in[1];
-  FILE *ready = fdopen (out[0], "r");
-  standin_require (fgets (standin->line, sizeof standin->line, ready) != NULL,
+  FILE *output = fdopen (out[0], "r");
+  standin_require (fgets (standin->line, sizeof standin->line, output) != NULL,
                    "first line");
-  fclose (ready);
+  fclose (output);
 }
 
-/* Ends the stand-in; it must have run without a fault.  */
+/* Stops the stand-in, which must end with status 0.  */
 static inline void
 standin_stop (struct standin *standin)
 {
@@ -85,7 +88,8 @@
   standin_require (status == 0, "exit status");
 }
 
-/* Returns the port that follows KEY in the ready line.  */
+/* Returns the port that follows KEY, such as "control=", in the ready
+   line.  */
 static inline uint16_t
 standin_port (const struct standin *standin, const char *key)
 {
