--- a/tests/demo.sh
+++ b/tests/demo.sh
@@ -1,7 +1,9 @@
 #!/bin/bash
-# Runs three hosts and the stand-ins on ephemeral loopback ports, takes a
-# release through them, changes the configuration, and fails the primary.
-# Ends 0 only if each step was right; stops all that it started.
+# Runs three hosts and the stand-ins on ephemeral loopback ports: writes and
+# reads through them, changes the configuration and crashes the primary.
+# Usage: demo.sh [BUILD_DIRECTORY]
+# Exits with status 0 only if every step succeeds.  Stops all processes that it
+# started.
 set -u
 build=${1:-build}
 savoryway=$build/savoryway
@@ -11,10 +13,10 @@
 
 say() { printf '%s\n' "$*"; }
 
-right() { say "   right: $*"; }
+pass() { say "   ok: $*"; }
 
-wrong() {
-  say "   WRONG: $*"
+fail() {
+  say "   FAILED: $*"
   failed=1
 }
 
@@ -36,7 +38,7 @@
 }
 trap finish EXIT
 
-# http METHOD PORT PATH [BODY]: prints the answer with its head.
+# http METHOD PORT PATH [BODY]: prints the response with its headers.
 http() {
   local body=${4:-}
   exec 9<>"/dev/tcp/127.0.0.1/$2" || return 1
@@ -46,7 +48,7 @@
   exec 9>&- 9<&-
 }
 
-# eventually SECONDS COMMAND...: repeats until it succeeds.
+# eventually SECONDS COMMAND...: repeats the command until it succeeds.
 eventually() {
   local until=$((SECONDS + $1))
   shift
@@ -56,21 +58,22 @@
   done
 }
 
-# Stand-ins end when their standard input closes, so also with this script.
-mkfifo "$work/hold"
-exec 8<>"$work/hold"
+# Stand-ins end when their standard input closes, so also when this script ends.
+mkfifo "$work/stdin"
+exec 8<>"$work/stdin"
 
 start_standin() { # NAME PROGRAM ARGUMENT...
   local name=$1
   shift
   "$@" <&8 >"$work/$name.out" 2>"$work/$name.log" &
   pids+=($!)
-  eventually 5 test -s "$work/$name.out" || { wrong "$name did not start"; exit 1; }
+  eventually 5 test -s "$work/$name.out" || { fail "$name did not start"; exit 1; }
 }
 
+# field NAME KEY: prints the number after KEY in the ready line of a stand-in.
 field() { sed -n "1s/.*$2\([0-9]*\).*/\1/p" "$work/$1.out"; }
 
-listening() { # HOST INTERFACE: its port
+listening() { # HOST INTERFACE: prints the port
   sed -n "s/.*event=listening interface=$2 .*port=\([0-9]*\).*/\1/p" "$work/$1.log" | head -n 1
 }
 
@@ -81,12 +84,12 @@
     --log-level=info 2>"$work/$1.log" &
   pids+=($!)
   host_pids+=($!)
-  eventually 5 grep -q interface=operators "$work/$1.log" || { wrong "$1 did not start"; exit 1; }
-  # The platform lists its hosts by itself; the stand-in has to be told.
+  eventually 5 grep -q interface=operators "$work/$1.log" || { fail "$1 did not start"; exit 1; }
+  # A real platform registers its hosts; the stand-in needs a call for it.
   http PUT "$platform_port" /v1/agent/service/register "{\"ID\": \"$1\", \"Name\": \"savoryway\",
     \"Address\": \"127.0.0.1\", \"Port\": $(listening "$1" hosts),
     \"Meta\": {\"domain\": \"$2\", \"incarnation\": \"$3\"}}" | grep -q ' 200 ' ||
-    wrong "the platform did not take $1"
+    fail "the platform did not register $1"
 }
 
 ready() { http GET "$(listening "$1" operators)" /readyz | grep -q ' 200 '; }
@@ -104,7 +107,7 @@
   SAVORYWAY_OPERATOR_PORT=$(listening "$host" operators) "$savoryway" config "$@"
 }
 
-# The subtree of the team, as its administrator applies it first.
+# Prints the first configuration of the team, which an administrator applies.
 team_subtree() {
   local hash
   hash=$("$savoryway" hash <"$work/captain")
@@ -124,7 +127,7 @@
 END
 }
 
-say "1. Three hosts start, with a database group of three instances and a platform."
+say "1. Starting three hosts, a database group of three instances and a platform."
 for key in token rpc; do
   od -An -N32 -tx1 /dev/urandom | tr -d ' \n' >"$work/$key.key"
 done
@@ -142,13 +145,13 @@
 start_host h3 rizal 103
 team_subtree >"$work/team.json"
 if ! config h1 --user=admin --secret-file="$work/admin" apply dagohoy "$work/team.json" >"$work/config.log" 2>&1; then
-  wrong "$(cat "$work/config.log")"
+  fail "$(cat "$work/config.log")"
   exit 1
 fi
 for host in h1 h2 h3; do
-  eventually 10 ready "$host" || { wrong "$host is not ready"; exit 1; }
+  eventually 10 ready "$host" || { fail "$host is not ready"; exit 1; }
 done
-right "h1, h2 and h3 are ready"
+pass "h1, h2 and h3 are ready"
 
 release() { # HOST ID KEY VALUE
   query "$1" --kind=release --request-id="$2" dagohoy/depot-ledger \
@@ -159,32 +162,32 @@
   query "$1" --kind=read dagohoy/depot-ledger 'SELECT v FROM kv WHERE k = $1' "$2"
 }
 
-say "2. A captain releases 40 sandbags through h1."
+say "2. A caller writes a release of 40 sandbags through h1."
 if release h1 r-17 release-17 40; then
-  right "$(cat "$work/answer")"
+  pass "$(cat "$work/answer")"
 else
-  wrong "$(cat "$work/answer")"
+  fail "$(cat "$work/answer")"
 fi
 
-say "3. The captain reads it through h2; the replicas are 300 ms behind."
+say "3. The same session reads it through h2; the replicas lag by 300 ms."
 value=$(read_key h2 release-17)
 if [ "$value" = 40 ]; then
-  right "40 bags, $(cat "$work/answer")"
+  pass "40 bags, $(cat "$work/answer")"
 else
-  wrong "read \"$value\": $(cat "$work/answer")"
+  fail "read \"$value\": $(cat "$work/answer")"
 fi
 
-say "4. The same release is sent again through h3, under the same request id."
+say "4. The same write is sent again through h3, with the same request id."
 release h3 r-17 release-17 40
 count=$(query h3 --kind=read dagohoy/depot-ledger 'SELECT count(*) FROM kv')
 if [ "$count" = 1 ]; then
-  right "it ran once: one row"
+  pass "the write ran once: one row"
 else
-  wrong "$count rows"
+  fail "expected one row, found $count"
 fi
 
-say "5. An operator lets counts be 5 s old, through h1; each host has it in force."
-in_force() { # HOST REVISION
+say "5. An operator sets the maximum age of counts to 5 s, through h1; every host applies it."
+in_force() { # HOST REVISION: succeeds if the revision is in force
   SAVORYWAY_OPERATOR_PORT=$(listening "$1" operators) "$savoryway" status --json |
     grep -q "\"config_revision\": $2,"
 }
@@ -193,39 +196,39 @@
   revision=$(sed -n 's/.*revision=\([0-9]*\).*/\1/p' "$work/config.log" | head -n 1)
   for host in h1 h2 h3; do
     if [ -n "$revision" ] && eventually 7 in_force "$host" "$revision"; then
-      right "revision $revision is in force on $host"
+      pass "revision $revision is in force on $host"
     else
-      wrong "revision $revision is not in force on $host after 7 s"
+      fail "revision $revision is not in force on $host after 7 s"
     fi
   done
 else
-  wrong "$(cat "$work/config.log")"
+  fail "$(cat "$work/config.log")"
 fi
 
-say "6. The primary dies; the captain releases 60 more through h3."
+say "6. The primary crashes; the caller writes a release of 60 more through h3."
 http POST "$(field db 'control=')" /fault '{"instance": "a", "kind": "die"}' | grep -q ' 200 ' ||
-  wrong "the stand-in did not take the fault"
+  fail "the stand-in did not accept the fault"
 before=$(date +%s%N)
 if release h3 r-18 release-18 60; then
-  right "$(cat "$work/answer"), after $((($(date +%s%N) - before) / 1000000)) ms"
+  pass "$(cat "$work/answer"), after $((($(date +%s%N) - before) / 1000000)) ms"
 else
-  wrong "$(cat "$work/answer")"
+  fail "$(cat "$work/answer")"
 fi
 for key in release-17:40 release-18:60; do
   value=$(read_key h2 "${key%:*}")
   if [ "$value" = "${key#*:}" ]; then
-    right "${key%:*} is still ${key#*:}"
+    pass "${key%:*} is still ${key#*:}"
   else
-    wrong "${key%:*} reads \"$value\": $(cat "$work/answer")"
+    fail "${key%:*} reads \"$value\": $(cat "$work/answer")"
   fi
 done
 
-say "7. The hosts are told to end."
+say "7. Stopping the hosts with SIGTERM."
 for pid in "${host_pids[@]}"; do
   kill -TERM "$pid"
 done
 for pid in "${host_pids[@]}"; do
-  wait "$pid" || wrong "a host ended with status $?"
+  wait "$pid" || fail "a host exited with status $?"
 done
-[ "$failed" -eq 0 ] && right "all ended gracefully" && say "All was right."
+[ "$failed" -eq 0 ] && pass "all hosts shut down gracefully" && say "All steps succeeded."
 exit "$failed"
--- a/tests/fleet/run_mutants.sh
+++ b/tests/fleet/run_mutants.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs the schedules of the fleet with each deliberate fault of LIST; every one
-# must fail.
+# Runs the schedules of the fleet tests (300 seeds) with each mutant of LIST, a
+# deliberate fault in the source.  Succeeds only if every mutant is caught.
 # Usage: run_mutants.sh PROGRAM LIST
 program=$1
 list=$2
--- a/tests/fuzz/run_mutants.sh
+++ b/tests/fuzz/run_mutants.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Runs each deliberate fault of LIST; every one must be caught.
+# Runs PROGRAM with each mutant of LIST, a deliberate fault in the source, over
+# seeds 1 to 6000.  Succeeds only if every mutant is caught.
 # Usage: run_mutants.sh PROGRAM LIST
 program=$1
 list=$2
--- a/tests/run_checks.sh
+++ b/tests/run_checks.sh
@@ -1,6 +1,10 @@
 #!/bin/sh
-# Runs the given check programs and prints the sum: "N passed, N failed".
-# No test depends on how busy the machine is.
+# Runs test programs that use the Check library and prints the total:
+# "N passed, N failed".
+# Usage: run_checks.sh PROGRAM...
+
+# Timeout of one test in seconds, with a margin so that a busy machine does not
+# make a test fail.
 export CK_DEFAULT_TIMEOUT=120
 passed=0
 failed=0
@@ -10,18 +14,20 @@
   printf '%s: %s\n' "$(basename "$program")" \
     "$(printf '%s\n' "$output" | grep -E '^[0-9]+%: Checks:' || echo 'no result')"
   line=$(printf '%s\n' "$output" | grep -E '^[0-9]+%: Checks:' | tail -n 1)
+  # A program that crashes before its summary counts as one failed test.
   if [ -z "$line" ]; then
     failed=$((failed + 1))
     printf '%s\n' "$output" | tail -n 40
     continue
   fi
   checks=$(printf '%s' "$line" | sed -E 's/.*Checks: ([0-9]+).*/\1/')
-  bad=$(printf '%s' "$line" | sed -E 's/.*Failures: ([0-9]+), Errors: ([0-9]+).*/\1 + \2/')
-  bad=$(expr $bad)
-  [ "$status" -ne 0 ] && [ "$bad" -eq 0 ] && bad=1 && checks=$((checks + 1))
-  passed=$((passed + checks - bad))
-  failed=$((failed + bad))
-  [ "$bad" -eq 0 ] || printf '%s\n' "$output"
+  failures=$(printf '%s' "$line" | sed -E 's/.*Failures: ([0-9]+), Errors: ([0-9]+).*/\1 + \2/')
+  failures=$(expr $failures)
+  # An error status without a failed test counts as one failed test too.
+  [ "$status" -ne 0 ] && [ "$failures" -eq 0 ] && failures=1 && checks=$((checks + 1))
+  passed=$((passed + checks - failures))
+  failed=$((failed + failures))
+  [ "$failures" -eq 0 ] || printf '%s\n' "$output"
 done
 printf '%s passed, %s failed\n' "$passed" "$failed"
 [ "$failed" -eq 0 ]
