--- a/tests/standin/pg_standin.h
+++ b/tests/standin/pg_standin.h
@@ -16,7 +16,7 @@
        freeze   stops answering; connections stay open
        die      closes the listener and all connections, keeps the log
        restart  listens again after die
-       cost     each statement takes N ms
+       cost     each statement of a caller takes N ms
        drop_answer  commits the next write and closes without an answer
        heal     undoes isolate, freeze and drop_answer
      GET /state  counters of the instances, as JSON  */
@@ -78,7 +78,7 @@
   struct evconnlistener *listener;
   bool down, frozen, isolated, drop_answer;
   bool primary;
-  struct settings staged; /* written, in force after a reload */
+  struct settings staged; /* written; a reload applies them */
   struct settings active;
   uint64_t reload_count;
   struct record **log;
@@ -86,7 +86,7 @@
   uint64_t confirmed_lsn;    /* highest LSN that a replica acknowledged */
   struct row *rows;
   struct event *timer;       /* receives and replays log */
-  clk_ms cost_ms;            /* run time of each statement */
+  clk_ms cost_ms;            /* run time of each statement of a caller */
   clk_ms last_connected_ms;  /* last time that its replication was up */
   struct session *role_lock; /* session that holds the lock on role changes */
   uint32_t slots_in_use;
@@ -126,7 +126,7 @@
 bool instance_receiving (const struct instance *instance);
 /* Returns the staleness of reads on INSTANCE; 0 on a primary.  */
 clk_ms instance_lag_ms (const struct instance *instance);
-/* Puts the staged settings into force.  */
+/* Applies the staged settings.  */
 void instance_reload (struct instance *instance);
 /* Makes a replica the primary, after it replayed its log.  */
 void instance_promote (struct instance *instance);
@@ -163,7 +163,7 @@
   clk_ms lock_deadline_ms;
   clk_ms statement_timeout_ms; /* in this transaction, 0 for none */
   clk_ms cancel_at_ms;  /* deadline of the running statement, 0 for none */
-  bool cancelled;       /* the statement exceeds its timeout */
+  bool cancelled;       /* the timeout expires before the statement ends */
   struct row *prepared; /* statements by name */
   char *statement;
   size_t param_count;
