--- a/bench/bench_blocking.c
+++ b/bench/bench_blocking.c
@@ -1,5 +1,9 @@
-/* Head-of-line blocking: latency of short requests with and without 5% of
-   requests that run 50 times longer, at a given load of the slots that serve
+/* bench_blocking - head-of-line blocking of short requests by long ones.
+
+   Usage: bench_blocking [SEEDS]
+
+   Measures the latency of short requests with and without 5% of requests that
+   run 50 times longer, at several utilizations of the slots that serve
    reads.  */
 
 #include <stdio.h>
@@ -13,11 +17,11 @@
 #define SHORT_MS 5
 #define LONG_MS 250
 #define LONG_PERMILLE 50
-#define WARM_MS 10000
-#define RUN_MS 60000
+#define WARM_UP_MS 10000
+#define MEASURE_MS 60000
 #define DRAIN_MS 30000
 
-struct row
+struct result
 {
   clk_ms short_p50_ms;
   clk_ms short_p99_ms;
@@ -27,10 +31,11 @@
   uint64_t refused;
 };
 
-/* RATE is that of short requests alone.  */
-static struct row
-run (const struct size *size, enum policy policy, uint64_t seed, double rate,
-     uint32_t long_permille)
+/* Runs the load once.  SHORT_PER_S is the rate of short requests; the long
+   ones come on top.  */
+static struct result
+run (const struct size *size, enum policy policy, uint64_t seed,
+     double short_per_s, uint32_t long_permille)
 {
   struct rig_options options = size_options (size, policy, seed);
   const struct load_options load_options = { .write_permille = 100,
@@ -45,14 +50,14 @@
   struct load *load = load_new (rig, &load_options);
   struct load_stats *stats = mem_zalloc (2 * sizeof *stats);
   load_set_stats (load, &stats[0]);
-  load_set_rate (load, rate * 1000 / (1000 - long_permille));
-  rig_run (rig, WARM_MS);
+  load_set_rate (load, short_per_s * 1000 / (1000 - long_permille));
+  rig_run (rig, WARM_UP_MS);
   load_set_stats (load, &stats[1]);
-  rig_run (rig, RUN_MS);
+  rig_run (rig, MEASURE_MS);
   load_set_rate (load, 0);
   rig_run (rig, DRAIN_MS);
   const struct load_stats *s = &stats[1];
-  struct row row = {
+  struct result result = {
     .short_p50_ms = load_percentile (&s->short_done, 500),
     .short_p99_ms = load_percentile (&s->short_done, 990),
     .long_p99_ms = load_percentile (&s->long_done, 990),
@@ -63,19 +68,19 @@
   load_free (load);
   rig_free (rig);
   free (stats);
-  return row;
+  return result;
 }
 
 static void
 measure (const struct size *size, enum policy policy, uint64_t seed,
          double load)
 {
-  double share = LONG_PERMILLE / 1000.0;
-  double mean_ms = (1 - share) * SHORT_MS + share * LONG_MS;
-  double slots = (double)(RIG_INSTANCES - 1) * size->slots;
-  double rate = load * slots * 1000 / mean_ms * (1 - share);
-  struct row without = run (size, policy, seed, rate, 0);
-  struct row with = run (size, policy, seed, rate, LONG_PERMILLE);
+  double long_share = LONG_PERMILLE / 1000.0;
+  double mean_ms = (1 - long_share) * SHORT_MS + long_share * LONG_MS;
+  double read_slots = (double)(RIG_INSTANCES - 1) * size->slots;
+  double short_per_s = load * read_slots * 1000 / mean_ms * (1 - long_share);
+  struct result without = run (size, policy, seed, short_per_s, 0);
+  struct result with = run (size, policy, seed, short_per_s, LONG_PERMILLE);
   printf ("%-10s %-5s load=%.1f seed=%llu short_p99_without_ms=%lld "
           "short_p99_ms=%lld ratio=%.2f short_p50_ms=%lld long_p99_ms=%lld "
           "long_done=%llu/%llu refused=%llu\n",
--- a/bench/bench_config.c
+++ b/bench/bench_config.c
@@ -1,8 +1,10 @@
-/* Time from a change of configuration to "accepted" and to "in force on all
-   hosts", with real processes on loopback, and the platform calls it takes.
+/* bench_config - latency of configuration changes over 13 hosts.
 
-   Each change goes to another host.  Besides a quiet platform: one that
-   answers slowly, and one that loses the answers of writes.  */
+   Measures the time from the request to its acceptance, the time from there
+   until the change is in force on all hosts, and the platform calls that it
+   takes.  Hosts are processes on loopback; consecutive changes go to different
+   hosts.  The platform answers normally, then slowly, and then loses its
+   answers to writes.  */
 
 #include "../tests/standin/standin_host.h"
 
@@ -10,25 +12,25 @@
 #define DOMAINS 4
 #define CHANGES 100
 #define SLOW_CHANGES 30
-#define SLOW_MS 200
+#define SLOW_MS 200 /* response time of the slow platform */
 #define SECRET "bench-secret"
 #define TEAM "bench"
 #define IN_FORCE_TARGET_MS 2000
-#define POLL_US 2000
+#define POLL_US 2000 /* between two status requests to a host */
 
-struct running
+struct running_host
 {
   struct host process;
-  uint16_t operators;
+  uint16_t operator_port;
 };
 
-static struct running hosts[HOSTS];
+static struct running_host hosts[HOSTS];
 static uint16_t platform;
 
 static void
 start_host (size_t i)
 {
-  struct running *host = &hosts[i];
+  struct running_host *host = &hosts[i];
   char *name = mem_printf ("h%zu", i);
   char *domain = mem_printf ("d%zu", i % DOMAINS);
   char *argv[] = { NULL,
@@ -42,7 +44,7 @@
                    "--rpc-port=0",
                    NULL };
   host_start (&host->process, argv);
-  host->operators = host_port (&host->process, "operators");
+  host->operator_port = host_port (&host->process, "operators");
   platform_put_host (platform, name, domain,
                      host_port (&host->process, "hosts"), "7");
   for (int k = 2; k <= 4; k++)
@@ -51,9 +53,9 @@
   free (domain);
 }
 
-/* Sets a weight through HOST; returns the revision.  */
+/* Sets a weight through HOST.  Returns the revision of the change.  */
 static uint64_t
-change (const struct running *host, int value)
+set_weight (const struct running_host *host, int value)
 {
   struct http_client_response answer;
   char *body
@@ -62,42 +64,43 @@
                     value);
   const struct http_client_request request = { .method = "POST",
                                                .address = "127.0.0.1",
-                                               .port = host->operators,
+                                               .port = host->operator_port,
                                                .path = "/v1/config/change",
                                                .user = "ann",
                                                .password = SECRET,
                                                .body = body,
                                                .body_bytes = strlen (body) };
   http_client_call (&request, &answer);
-  char *at = strstr (answer.body, "\"revision\":");
-  standin_require (answer.status == 200 && at != NULL, answer.body);
-  uint64_t revision = strtoull (at + strlen ("\"revision\":"), NULL, 10);
+  char *found = strstr (answer.body, "\"revision\":");
+  standin_require (answer.status == 200 && found != NULL, answer.body);
+  uint64_t revision = strtoull (found + strlen ("\"revision\":"), NULL, 10);
   http_client_clear (&answer);
   free (body);
   return revision;
 }
 
 static uint64_t
-revision_of (const struct running *host)
+revision_of (const struct running_host *host)
 {
   char *text = NULL;
   uint64_t revision = 0;
-  host_request (host->operators, "GET", "/v1/status", NULL, &text);
-  char *at = strstr (text, "\"config_revision\":");
-  if (at != NULL)
-    revision = strtoull (at + strlen ("\"config_revision\":"), NULL, 10);
+  host_request (host->operator_port, "GET", "/v1/status", NULL, &text);
+  char *found = strstr (text, "\"config_revision\":");
+  if (found != NULL)
+    revision = strtoull (found + strlen ("\"config_revision\":"), NULL, 10);
   free (text);
   return revision;
 }
 
 static void
-await_everywhere (uint64_t revision)
+wait_in_force_everywhere (uint64_t revision)
 {
-  double until_ms = host_now_ms () + HOST_WAIT_MS;
+  double deadline_ms = host_now_ms () + HOST_WAIT_MS;
   for (size_t i = 0; i < HOSTS; i++)
     while (revision_of (&hosts[i]) < revision)
       {
-        standin_require (host_now_ms () < until_ms, "in force everywhere");
+        standin_require (host_now_ms () < deadline_ms,
+                         "wait for a change on all hosts");
         usleep (POLL_US);
       }
 }
@@ -108,8 +111,8 @@
   char *text = NULL;
   char *key = mem_printf ("\"%s\": ", name);
   host_request (platform, "GET", "/control", NULL, &text);
-  char *at = strstr (text, key);
-  int64_t value = at != NULL ? strtoll (at + strlen (key), NULL, 10) : 0;
+  char *found = strstr (text, key);
+  int64_t value = found != NULL ? strtoll (found + strlen (key), NULL, 10) : 0;
   free (key);
   free (text);
   return value;
@@ -127,7 +130,7 @@
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   double left = *(const double *)a;
   double right = *(const double *)b;
@@ -135,17 +138,18 @@
 }
 
 static void
-print_times (const char *name, const char *what, double *times, size_t count)
+print_times (const char *case_name, const char *time_name, double *times,
+             size_t count)
 {
-  qsort (times, count, sizeof *times, by_value);
+  qsort (times, count, sizeof *times, compare_times);
   printf ("bench=config hosts=%d case=%s time=%s changes=%zu p50_ms=%.0f "
           "p99_ms=%.0f max_ms=%.0f\n",
-          HOSTS, name, what, count, times[count / 2], times[count * 99 / 100],
-          times[count - 1]);
+          HOSTS, case_name, time_name, count, times[count / 2],
+          times[count * 99 / 100], times[count - 1]);
 }
 
 static void
-measure (const char *name, const char *control, size_t count)
+measure (const char *case_name, const char *control, size_t count)
 {
   static int value = 1;
   double accepted[CHANGES], in_force[CHANGES];
@@ -155,21 +159,21 @@
     {
       host_request (platform, "PUT", control, NULL, NULL);
       double start_ms = host_now_ms ();
-      uint64_t revision = change (&hosts[i % HOSTS], 1 + value++ % 1000);
+      uint64_t revision = set_weight (&hosts[i % HOSTS], 1 + value++ % 1000);
       accepted[i] = host_now_ms () - start_ms;
       start_ms = host_now_ms ();
-      await_everywhere (revision);
+      wait_in_force_everywhere (revision);
       in_force[i] = host_now_ms () - start_ms;
     }
   double span_s = (host_now_ms () - begin_ms) / 1000;
   calls = platform_calls () - calls;
   host_request (platform, "PUT", "/control?slow_ms=0&lose=0", NULL, NULL);
-  print_times (name, "asked_to_accepted", accepted, count);
-  print_times (name, "accepted_to_in_force", in_force, count);
+  print_times (case_name, "asked_to_accepted", accepted, count);
+  print_times (case_name, "accepted_to_in_force", in_force, count);
   printf ("bench=config hosts=%d case=%s platform_calls_a_change=%.1f "
           "changes_a_second=%.1f target_in_force_p99_ms=%d\n",
-          HOSTS, name, (double)calls / (double)count, (double)count / span_s,
-          IN_FORCE_TARGET_MS);
+          HOSTS, case_name, (double)calls / (double)count,
+          (double)count / span_s, IN_FORCE_TARGET_MS);
 }
 
 static void
@@ -203,7 +207,7 @@
   for (size_t i = 0; i < HOSTS; i++)
     start_host (i);
   for (size_t i = 0; i < HOSTS; i++)
-    host_wait_ready (hosts[i].operators, "/readyz");
+    host_wait_ready (hosts[i].operator_port, "/readyz");
   snprintf (slow, sizeof slow, "/control?slow_ms=%d", SLOW_MS);
   measure ("quiet", "/control?lose=0", CHANGES);
   measure ("slow_200_ms", slow, SLOW_CHANGES);
@@ -211,7 +215,8 @@
   for (size_t i = 0; i < HOSTS; i++)
     kill (hosts[i].process.pid, SIGTERM);
   for (size_t i = 0; i < HOSTS; i++)
-    standin_require (host_wait_exit (&hosts[i].process) == 0, "end of a host");
+    standin_require (host_wait_exit (&hosts[i].process) == 0,
+                     "clean exit of a host");
   standin_stop (&standin);
   return 0;
 }
--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -1,11 +1,12 @@
-/* Gap in acknowledged writes over changes of primary, in virtual time.
+/* bench_failover - write interruption by a change of primary.
 
    Usage: bench_failover [SEEDS]
 
-   Five hosts in three failure domains, one database with an instance in
-   each, one writer that writes without pause.  For each kind of fault: gap
-   between two acknowledgements, acknowledged writes that the new primary does
-   not have, and calls to the platform, over the seeds.  */
+   Simulates, in virtual time, five hosts in three failure domains, one
+   database with an instance in each domain, and one client that writes
+   continuously.  Prints for each kind of fault, over all seeds: the longest
+   time between two acknowledged writes, the acknowledged writes that the new
+   primary lacks, and the calls to the platform.  */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,9 +14,9 @@
 
 #include "load_writer.h"
 
-#define DEFAULT_SEEDS 100
+#define SEEDS_DEFAULT 100
 #define WARM_UP_MS 4000
-#define AFTER_MS 10000
+#define MEASURE_MS 10000
 #define WRITER_HOST 4
 
 enum fault
@@ -23,10 +24,10 @@
   FAULT_KILL,
   FAULT_FREEZE,
   FAULT_ISOLATE,
-  FAULT_DOMAIN,
+  FAULT_ISOLATE_DOMAIN,
   FAULT_KILL_WITH_COORDINATOR,
   FAULT_KILL_LOST_ANSWER,
-  FAULT_ORDERED,
+  FAULT_SWITCHOVER,
   FAULT_COUNT
 };
 
@@ -34,26 +35,26 @@
   [FAULT_KILL] = "primary_killed",
   [FAULT_FREEZE] = "primary_frozen",
   [FAULT_ISOLATE] = "primary_isolated",
-  [FAULT_DOMAIN] = "domain_lost",
+  [FAULT_ISOLATE_DOMAIN] = "domain_lost",
   [FAULT_KILL_WITH_COORDINATOR] = "killed_with_coordinator",
   [FAULT_KILL_LOST_ANSWER] = "killed_lost_answer",
-  [FAULT_ORDERED] = "ordered",
+  [FAULT_SWITCHOVER] = "ordered",
 };
 
 static const char *const host_domains[] = { "d0", "d1", "d2", "d0", "d1" };
 static const char *const instance_domains[] = { "d0", "d1", "d2" };
 
-struct outcome_row
+struct run_result
 {
   clk_ms gap_ms;
   size_t lost;
-  uint64_t writes;
-  uint64_t reads;
-  bool replaced;
+  uint64_t writes; /* to the platform */
+  uint64_t reads;  /* from the platform */
+  bool replaced;   /* the primary, exactly once */
 };
 
 static void
-no_answer (void *arg, bool ok, const char *message)
+ignore_answer (void *arg, bool ok, const char *message)
 {
   (void)arg;
   (void)ok;
@@ -70,7 +71,7 @@
 }
 
 static void
-lose_domain (struct sim_control *control)
+isolate_domain (struct sim_control *control)
 {
   sim_instance_isolate (control->instances[0], true);
   for (size_t i = 0; i < control->sim.host_count; i++)
@@ -79,7 +80,7 @@
 }
 
 static void
-cause (struct sim_control *control, enum fault fault)
+inject_fault (struct sim_control *control, enum fault fault)
 {
   switch (fault)
     {
@@ -89,8 +90,8 @@
     case FAULT_ISOLATE:
       sim_instance_isolate (control->instances[0], true);
       break;
-    case FAULT_DOMAIN:
-      lose_domain (control);
+    case FAULT_ISOLATE_DOMAIN:
+      isolate_domain (control);
       break;
     case FAULT_KILL_WITH_COORDINATOR:
       if (first_coordinator (control) != WRITER_HOST)
@@ -101,9 +102,9 @@
       control->platform.lose_next_answer = true;
       sim_instance_kill (control->instances[0]);
       break;
-    case FAULT_ORDERED:
-      failover_switch_over (control->failovers[2], "t/s/d", NULL, no_answer,
-                            NULL);
+    case FAULT_SWITCHOVER:
+      failover_switch_over (control->failovers[2], "t/s/d", NULL,
+                            ignore_answer, NULL);
       break;
     default:
       sim_instance_kill (control->instances[0]);
@@ -126,11 +127,11 @@
   return NULL;
 }
 
-static struct outcome_row
+static struct run_result
 run (enum fault fault, uint64_t seed)
 {
   static struct sim_control control;
-  struct outcome_row row = { 0 };
+  struct run_result result = { 0 };
   uint64_t term = 0;
   sim_control_init (&control, seed, 5, host_domains);
   sim_control_add_database (&control, instance_domains);
@@ -140,66 +141,66 @@
   struct load_writer *writer = load_writer_new (&control, WRITER_HOST);
   sim_run (&control.sim, 500 + sim_delay (&control.sim, 0, 1000));
   load_writer_reset_gap (writer);
-  row.writes = control.platform.writes;
-  row.reads = control.platform.reads;
-  cause (&control, fault);
-  sim_run (&control.sim, AFTER_MS);
-  row.gap_ms = load_writer_gap_ms (writer);
-  row.writes = control.platform.writes - row.writes;
-  row.reads = control.platform.reads - row.reads;
+  result.writes = control.platform.writes;
+  result.reads = control.platform.reads;
+  inject_fault (&control, fault);
+  sim_run (&control.sim, MEASURE_MS);
+  result.gap_ms = load_writer_gap_ms (writer);
+  result.writes = control.platform.writes - result.writes;
+  result.reads = control.platform.reads - result.reads;
   struct sim_instance *primary = current_primary (&control, &term);
-  row.replaced = term == 2;
-  row.lost = load_writer_lost (writer, primary);
+  result.replaced = term == 2;
+  result.lost = load_writer_lost (writer, primary);
   load_writer_free (writer);
   sim_control_clear (&control);
-  return row;
+  return result;
 }
 
 static int
-by_gap (const void *a, const void *b)
+compare_gaps (const void *a, const void *b)
 {
-  clk_ms x = ((const struct outcome_row *)a)->gap_ms;
-  clk_ms y = ((const struct outcome_row *)b)->gap_ms;
+  clk_ms x = ((const struct run_result *)a)->gap_ms;
+  clk_ms y = ((const struct run_result *)b)->gap_ms;
   return x < y ? -1 : x > y ? 1 : 0;
 }
 
 static void
 measure (enum fault fault, size_t seeds)
 {
-  struct outcome_row *rows = calloc (seeds, sizeof *rows);
+  struct run_result *results = calloc (seeds, sizeof *results);
   size_t lost = 0, replaced = 0;
   uint64_t writes = 0, reads = 0;
-  if (rows == NULL)
+  if (results == NULL)
     abort ();
   for (size_t i = 0; i < seeds; i++)
     {
-      rows[i] = run (fault, i + 1);
-      if (!rows[i].replaced)
-        printf ("%-24s seed %zu: not replaced once\n", fault_names[fault],
-                i + 1);
-      lost += rows[i].lost;
-      replaced += rows[i].replaced;
-      writes += rows[i].writes;
-      reads += rows[i].reads;
+      results[i] = run (fault, i + 1);
+      if (!results[i].replaced)
+        printf ("%-24s seed %zu: primary not replaced exactly once\n",
+                fault_names[fault], i + 1);
+      lost += results[i].lost;
+      replaced += results[i].replaced;
+      writes += results[i].writes;
+      reads += results[i].reads;
     }
-  qsort (rows, seeds, sizeof *rows, by_gap);
+  qsort (results, seeds, sizeof *results, compare_gaps);
   printf ("%-24s gap_ms min %4lld p50 %4lld p99 %4lld max %4lld  replaced "
           "%zu/%zu  lost %zu  platform writes %.1f reads/s %.1f\n",
-          fault_names[fault], (long long)rows[0].gap_ms,
-          (long long)rows[seeds / 2].gap_ms,
-          (long long)rows[seeds * 99 / 100].gap_ms,
-          (long long)rows[seeds - 1].gap_ms, replaced, seeds, lost,
+          fault_names[fault], (long long)results[0].gap_ms,
+          (long long)results[seeds / 2].gap_ms,
+          (long long)results[seeds * 99 / 100].gap_ms,
+          (long long)results[seeds - 1].gap_ms, replaced, seeds, lost,
           (double)writes / (double)seeds,
-          (double)reads / (double)seeds * 1000 / AFTER_MS);
-  free (rows);
+          (double)reads / (double)seeds * 1000 / MEASURE_MS);
+  free (results);
 }
 
 int
 main (int argc, char **argv)
 {
-  size_t seeds = argc > 1 ? strtoul (argv[1], NULL, 10) : DEFAULT_SEEDS;
+  size_t seeds = argc > 1 ? strtoul (argv[1], NULL, 10) : SEEDS_DEFAULT;
   if (seeds == 0)
-    seeds = DEFAULT_SEEDS;
+    seeds = SEEDS_DEFAULT;
   for (int fault = 0; fault < FAULT_COUNT; fault++)
     measure ((enum fault)fault, seeds);
   return 0;
--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -1,10 +1,12 @@
-/* Messages, bytes, processor time and platform calls of a whole fleet that
-   shares configuration, terms and hosts, in one process and virtual time.
+/* bench_fleet - cost of sharing state among the hosts of a fleet.
 
    Usage: bench_fleet [HOSTS...]
 
-   Each host has the modules members, peers, terms and sync.  Messages take
-   DELAY_MS; their bytes are those of XDR and of the headers around it.  */
+   Simulates, in one process and virtual time, fleets of HOSTS hosts that share
+   configuration, term records and the list of hosts.  Prints messages, bytes,
+   processor time and platform calls.  Each host has the modules view, members,
+   peers, terms and sync.  A peer message takes PEER_DELAY_MS; its size is that
+   of its XDR encoding and of the headers around it.  */
 
 #include <malloc.h>
 #include <stdio.h>
@@ -21,15 +23,16 @@
 #include "kernel/mem.h"
 
 #define DOMAINS 6
-#define DELAY_MS 2
-#define PLATFORM_MS 3
-#define KEYS 512
+#define PEER_DELAY_MS 2
+#define PLATFORM_DELAY_MS 3
+#define MAX_KEYS 512
 
-/* Headers of ONC RPC with its authenticator, TCP and IP, and the
-   acknowledgement by TCP of a message that is not answered at once.  */
+/* Size of what is sent around the XDR encoding: the ONC RPC header with its
+   authenticator, the TCP and IP headers, and a separate TCP acknowledgement,
+   since the reply does not follow at once.  */
 #define CALL_HEADER_BYTES (76 + 52 + 52)
 #define REPLY_HEADER_BYTES (60 + 52 + 52)
-#define PLATFORM_HEADER_BYTES 600
+#define PLATFORM_HEADER_BYTES 600 /* of a call and its reply */
 
 struct fleet;
 
@@ -48,7 +51,7 @@
   uint64_t messages;
   uint64_t bytes;
   uint64_t platform_calls;
-  clk_ms reached_ms;
+  clk_ms reached_ms; /* first time at the awaited revision; -1 if not yet */
   bool alive;
 };
 
@@ -67,27 +70,27 @@
   struct kernel *world;
   size_t count;
   struct host *hosts;
-  struct platform_host *list;
-  uint64_t hosts_index;
+  struct platform_host *host_list;
+  uint64_t host_list_index;
   uint64_t index;
   uint64_t terms_index;
   size_t key_count;
-  struct key keys[KEYS];
-  struct pending *pending; /* platform reads that wait */
+  struct key keys[MAX_KEYS];
+  struct pending_call *platform_reads;
   bool outage;
   uint64_t next_id;
-  uint64_t calls_this_s; /* to the platform */
+  uint64_t calls_this_s; /* to the platform, since second_start_ms */
   uint64_t calls_peak_s;
-  clk_ms second_ms;
+  clk_ms second_start_ms;
 };
 
 static struct fleet fleet;
 
-/* A message or a platform call on its way.  */
-struct pending
+/* A peer call or a platform read in flight.  */
+struct pending_call
 {
-  struct host *host; /* that gets the result */
-  struct host *from; /* the caller of a peer call */
+  struct host *host; /* receiver of a peer call; reader of the platform */
+  struct host *from; /* sender of a peer call */
   uint64_t id;
   peer_message *message;
   enum peer_status status;
@@ -99,13 +102,13 @@
   uint64_t wait_index;
   clk_ms wait_until_ms;
   bool cancelled;
-  bool waiting;
+  bool waiting; /* platform read waits for a change */
   struct ktimer timer;
   struct ktimer timeout;
-  struct pending *next;
+  struct pending_call *next;
 };
 
-static struct pending *calls; /* all peer calls that are not over */
+static struct pending_call *calls; /* peer calls in flight */
 
 static struct host *
 host_of_port (struct peer_port *port)
@@ -114,7 +117,8 @@
 }
 
 static void
-after (struct ktimer *timer, clk_ms delay_ms, void (*fire) (void *), void *arg)
+set_timer_after (struct ktimer *timer, clk_ms delay_ms, void (*fire) (void *),
+                 void *arg)
 {
   timer->fire = fire;
   timer->arg = arg;
@@ -134,16 +138,16 @@
 }
 
 static void
-unlink_call (struct pending *call)
+unlink_call (struct pending_call *call)
 {
-  struct pending **p = &calls;
+  struct pending_call **p = &calls;
   while (*p != call)
     p = &(*p)->next;
   *p = call->next;
 }
 
 static void
-end_call (struct pending *call)
+end_call (struct pending_call *call)
 {
   unlink_call (call);
   kernel_timer_cancel (fleet.world, &call->timer);
@@ -153,7 +157,7 @@
 }
 
 static void
-finish_call (struct pending *call, enum peer_status status)
+finish_call (struct pending_call *call, enum peer_status status)
 {
   peer_message *message = call->message;
   call->message = NULL;
@@ -167,21 +171,21 @@
 }
 
 static void
-answer_arrives (void *arg)
+deliver_reply (void *arg)
 {
   finish_call (arg, PEER_OK);
 }
 
 static void
-call_times_out (void *arg)
+time_out_call (void *arg)
 {
   finish_call (arg, PEER_TIMEOUT);
 }
 
 static void
-call_arrives (void *arg)
+deliver_call (void *arg)
 {
-  struct pending *call = arg;
+  struct pending_call *call = arg;
   if (!call->host->alive || call->host->handler == NULL)
     return;
   peer_message *message = call->message;
@@ -195,7 +199,7 @@
            const peer_message *message, clk_ms timeout_ms, peer_done done,
            void *arg)
 {
-  struct pending *call = mem_zalloc (sizeof *call);
+  struct pending_call *call = mem_zalloc (sizeof *call);
   call->from = host_of_port (port);
   call->host = &fleet.hosts[to->port - 1];
   call->id = ++fleet.next_id;
@@ -205,15 +209,15 @@
   call->next = calls;
   calls = call;
   count_message (call->from, call->host, message, CALL_HEADER_BYTES);
-  after (&call->timer, DELAY_MS, call_arrives, call);
-  after (&call->timeout, timeout_ms, call_times_out, call);
+  set_timer_after (&call->timer, PEER_DELAY_MS, deliver_call, call);
+  set_timer_after (&call->timeout, timeout_ms, time_out_call, call);
   return call->id;
 }
 
-static struct pending *
+static struct pending_call *
 find_call (uint64_t id)
 {
-  struct pending *call = calls;
+  struct pending_call *call = calls;
   while (call != NULL && call->id != id)
     call = call->next;
   return call;
@@ -222,7 +226,7 @@
 static void
 peer_cancel (struct peer_port *port, uint64_t id)
 {
-  struct pending *call = find_call (id);
+  struct pending_call *call = find_call (id);
   (void)port;
   if (call != NULL)
     call->cancelled = true;
@@ -231,12 +235,12 @@
 static void
 peer_reply (struct peer_port *port, uint64_t id, const peer_message *message)
 {
-  struct pending *call = find_call (id);
+  struct pending_call *call = find_call (id);
   if (call == NULL)
     return;
   count_message (host_of_port (port), call->from, message, REPLY_HEADER_BYTES);
   call->message = peers_message_copy (message);
-  after (&call->timer, DELAY_MS, answer_arrives, call);
+  set_timer_after (&call->timer, PEER_DELAY_MS, deliver_reply, call);
 }
 
 static void
@@ -252,14 +256,14 @@
         .reply = peer_reply,
         .set_handler = peer_set_handler };
 
-/* The platform: reads only; the bench writes keys itself.  */
+/* The platform serves reads only: the benchmark sets the keys directly.  */
 
 static void
 count_platform_call (struct host *host, size_t bytes)
 {
-  if (fleet.clk.now_ms - fleet.second_ms >= 1000)
+  if (fleet.clk.now_ms - fleet.second_start_ms >= 1000)
     {
-      fleet.second_ms = fleet.clk.now_ms;
+      fleet.second_start_ms = fleet.clk.now_ms;
       fleet.calls_this_s = 0;
     }
   if (++fleet.calls_this_s > fleet.calls_peak_s)
@@ -269,10 +273,10 @@
 }
 
 static uint64_t
-index_of (const struct pending *call)
+platform_index (const struct pending_call *call)
 {
   if (call->kind == PLATFORM_HOSTS)
-    return fleet.hosts_index;
+    return fleet.host_list_index;
   if (call->kind == PLATFORM_LIST
       && strncmp (call->key, TERMS_PREFIX, strlen (TERMS_PREFIX)) == 0)
     return fleet.terms_index;
@@ -280,7 +284,7 @@
 }
 
 static size_t
-select_items (const struct pending *call, struct platform_item *items)
+select_items (const struct pending_call *call, struct platform_item *items)
 {
   size_t count = 0;
   for (size_t i = 0; i < fleet.key_count; i++)
@@ -301,25 +305,25 @@
 }
 
 static void
-platform_answers (void *arg)
+answer_platform_call (void *arg)
 {
-  struct pending *call = arg;
-  static struct platform_item items[KEYS];
-  struct platform_reply reply = { .index = index_of (call) };
+  struct pending_call *call = arg;
+  static struct platform_item items[MAX_KEYS];
+  struct platform_reply reply = { .index = platform_index (call) };
   size_t bytes = 0;
   if (fleet.outage)
     reply.status = PLATFORM_UNAVAILABLE;
-  else if (index_of (call) <= call->wait_index
+  else if (platform_index (call) <= call->wait_index
            && fleet.clk.now_ms < call->wait_until_ms)
     {
       call->waiting = true;
-      after (&call->timer, call->wait_until_ms - fleet.clk.now_ms,
-             platform_answers, call);
+      set_timer_after (&call->timer, call->wait_until_ms - fleet.clk.now_ms,
+                       answer_platform_call, call);
       return;
     }
   else if (call->kind == PLATFORM_HOSTS)
     {
-      reply.hosts = fleet.list;
+      reply.hosts = fleet.host_list;
       reply.host_count = fleet.count;
       bytes = reply.index > call->wait_index ? fleet.count * 200 : 0;
     }
@@ -334,7 +338,7 @@
                          : PLATFORM_NOT_FOUND;
     }
   count_platform_call (call->host, bytes);
-  struct pending **p = &fleet.pending;
+  struct pending_call **p = &fleet.platform_reads;
   while (*p != call)
     p = &(*p)->next;
   *p = call->next;
@@ -348,7 +352,7 @@
 platform_call (struct platform_port *port, const struct platform_call *from,
                platform_done done, void *arg)
 {
-  struct pending *call = mem_zalloc (sizeof *call);
+  struct pending_call *call = mem_zalloc (sizeof *call);
   call->host
       = (struct host *)((char *)port - offsetof (struct host, platform));
   call->id = ++fleet.next_id;
@@ -358,9 +362,10 @@
   call->wait_until_ms = fleet.clk.now_ms + from->wait_ms;
   call->platform_done = done;
   call->arg = arg;
-  call->next = fleet.pending;
-  fleet.pending = call;
-  after (&call->timer, PLATFORM_MS, platform_answers, call);
+  call->next = fleet.platform_reads;
+  fleet.platform_reads = call;
+  set_timer_after (&call->timer, PLATFORM_DELAY_MS, answer_platform_call,
+                   call);
   return call->id;
 }
 
@@ -368,7 +373,7 @@
 platform_cancel (struct platform_port *port, uint64_t id)
 {
   (void)port;
-  for (struct pending *c = fleet.pending; c != NULL; c = c->next)
+  for (struct pending_call *c = fleet.platform_reads; c != NULL; c = c->next)
     if (c->id == id)
       c->cancelled = true;
 }
@@ -391,9 +396,9 @@
   key->index = ++fleet.index;
   if (strncmp (name, TERMS_PREFIX, strlen (TERMS_PREFIX)) == 0)
     fleet.terms_index = fleet.index;
-  for (struct pending *c = fleet.pending; c != NULL; c = c->next)
+  for (struct pending_call *c = fleet.platform_reads; c != NULL; c = c->next)
     if (c->waiting)
-      after (&c->timer, 0, platform_answers, c);
+      set_timer_after (&c->timer, 0, answer_platform_call, c);
 }
 
 static void
@@ -412,12 +417,12 @@
 start_host (size_t i)
 {
   struct host *host = &fleet.hosts[i];
-  const struct platform_host *listed = &fleet.list[i];
-  struct member self = { .address.port = listed->port,
-                         .address.incarnation = listed->incarnation };
-  memcpy (self.address.name, listed->name, NAME_BYTES);
-  memcpy (self.address.address, listed->address, ADDRESS_BYTES);
-  memcpy (self.domain, listed->domain, NAME_BYTES);
+  const struct platform_host *entry = &fleet.host_list[i];
+  struct member self = { .address.port = entry->port,
+                         .address.incarnation = entry->incarnation };
+  memcpy (self.address.name, entry->name, NAME_BYTES);
+  memcpy (self.address.address, entry->address, ADDRESS_BYTES);
+  memcpy (self.domain, entry->domain, NAME_BYTES);
   rng_init (&host->rng, i + 1);
   host->fleet = &fleet;
   host->alive = true;
@@ -437,7 +442,7 @@
 }
 
 static void
-no_line (void *arg, int priority, const char *line)
+discard_line (void *arg, int priority, const char *line)
 {
   (void)arg;
   (void)priority;
@@ -450,18 +455,18 @@
   memset (&fleet, 0, sizeof fleet);
   clk_virtual_init (&fleet.clk, 10000);
   rng_init (&fleet.rng, 1);
-  fleet.log = log_new (&fleet.clk.base, LOG_EMERG, 0, no_line, NULL);
+  fleet.log = log_new (&fleet.clk.base, LOG_EMERG, 0, discard_line, NULL);
   fleet.world = kernel_new (&fleet.clk.base, &fleet.rng, fleet.log);
   fleet.count = count;
   fleet.hosts = mem_zalloc (count * sizeof *fleet.hosts);
-  fleet.list = mem_zalloc (count * sizeof *fleet.list);
-  fleet.hosts_index = 1;
+  fleet.host_list = mem_zalloc (count * sizeof *fleet.host_list);
+  fleet.host_list_index = 1;
   set_key (TERMS_PREFIX "t/s/d",
            "{\"term\":1,\"state\":\"active\",\"primary\":\"t/s/d/a\","
            "\"attempt\":\"\",\"coordinator\":\"\",\"starts\":[]}");
   for (size_t i = 0; i < count; i++)
     {
-      struct platform_host *host = &fleet.list[i];
+      struct platform_host *host = &fleet.host_list[i];
       snprintf (host->name, NAME_BYTES, "entry-%05zu", i);
       snprintf (host->address, ADDRESS_BYTES, "10.0.%zu.%zu", i >> 8, i & 255);
       snprintf (host->domain, NAME_BYTES, "domain-%zu", i % DOMAINS);
@@ -478,23 +483,24 @@
     kernel_free (fleet.hosts[i].kernel);
   while (calls != NULL)
     end_call (calls);
-  while (fleet.pending != NULL)
+  while (fleet.platform_reads != NULL)
     {
-      struct pending *next = fleet.pending->next;
-      kernel_timer_cancel (fleet.world, &fleet.pending->timer);
-      free (fleet.pending->key);
-      free (fleet.pending);
-      fleet.pending = next;
+      struct pending_call *next = fleet.platform_reads->next;
+      kernel_timer_cancel (fleet.world, &fleet.platform_reads->timer);
+      free (fleet.platform_reads->key);
+      free (fleet.platform_reads);
+      fleet.platform_reads = next;
     }
   for (size_t i = 0; i < fleet.key_count; i++)
     free (fleet.keys[i].value);
   kernel_free (fleet.world);
   log_free (fleet.log);
   free (fleet.hosts);
-  free (fleet.list);
+  free (fleet.host_list);
 }
 
-/* Advances by SPAN_MS; notes when each host first has REVISION.  */
+/* Advances the time by SPAN_MS.  Records when each host first has
+   REVISION.  */
 static void
 run (clk_ms span_ms, uint64_t revision)
 {
@@ -519,15 +525,15 @@
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_spans (const void *a, const void *b)
 {
   int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
   return x < y ? -1 : x > y ? 1 : 0;
 }
 
-/* Prints how long hosts took to reach a revision since FROM_MS.  */
+/* Prints how long after FROM_MS the hosts reached the awaited revision.  */
 static void
-print_reached (const char *what, clk_ms from_ms)
+print_reached (const char *label, clk_ms from_ms)
 {
   int64_t *spans = mem_zalloc (fleet.count * sizeof *spans);
   size_t count = 0, missing = 0;
@@ -540,17 +546,17 @@
       else
         spans[count++] = fleet.hosts[i].reached_ms - from_ms;
     }
-  qsort (spans, count, sizeof *spans, by_value);
+  qsort (spans, count, sizeof *spans, compare_spans);
   if (count > 0)
     printf ("  %-34s p50 %5lld ms  p99 %5lld ms  max %5lld ms  missing %zu\n",
-            what, (long long)spans[count / 2],
+            label, (long long)spans[count / 2],
             (long long)spans[count * 99 / 100], (long long)spans[count - 1],
             missing);
   free (spans);
 }
 
 static void
-forget_reached (void)
+clear_reached (void)
 {
   for (size_t i = 0; i < fleet.count; i++)
     fleet.hosts[i].reached_ms = -1;
@@ -611,7 +617,7 @@
   clk_ms age_max_ms = 0;
   uint64_t calls_total = 0;
   reset_counts ();
-  double began = cpu_ms ();
+  double start_ms = cpu_ms ();
   for (int step = 0; step < (int)span_s * 10; step++)
     {
       run (100, 0);
@@ -619,7 +625,7 @@
         if (sync_view_age_ms (fleet.hosts[i].sync) > age_max_ms)
           age_max_ms = sync_view_age_ms (fleet.hosts[i].sync);
     }
-  double spent = cpu_ms () - began;
+  double spent_ms = cpu_ms () - start_ms;
   for (size_t i = 0; i < fleet.count; i++)
     {
       add_traffic (sync_is_relay (fleet.hosts[i].sync) ? &relays : &others,
@@ -631,7 +637,7 @@
   printf ("  platform calls/s of all %.1f, age of view max %lld ms, "
           "processor %.4f %% of a core a host\n",
           (double)calls_total / span_s, (long long)age_max_ms,
-          spent / 10 / span_s / (double)fleet.count);
+          spent_ms / 10 / span_s / (double)fleet.count);
 }
 
 static void
@@ -640,13 +646,13 @@
   size_t lost = 0;
   for (size_t i = 0; i < fleet.count && lost < 2; i++)
     if (sync_is_relay (fleet.hosts[i].sync)
-        && strcmp (fleet.list[i].domain, "domain-0") == 0)
+        && strcmp (fleet.host_list[i].domain, "domain-0") == 0)
       {
         fleet.hosts[i].alive = false;
         lost++;
       }
   run (2000, 0);
-  forget_reached ();
+  clear_reached ();
   clk_ms from_ms = fleet.clk.now_ms;
   configure (3);
   run (5000, 3);
@@ -660,7 +666,7 @@
   run (60000, 0);
   fleet.outage = false;
   reset_counts ();
-  forget_reached ();
+  clear_reached ();
   clk_ms from_ms = fleet.clk.now_ms;
   configure (4);
   run (10000, 4);
@@ -687,7 +693,7 @@
           (double)(now.uordblks + now.hblkhd - before.uordblks - before.hblkhd)
               / 1024 / (double)count);
   measure_steady ();
-  forget_reached ();
+  clear_reached ();
   from_ms = fleet.clk.now_ms;
   configure (2);
   run (5000, 2);
--- a/bench/bench_outcomes.c
+++ b/bench/bench_outcomes.c
@@ -1,5 +1,9 @@
-/* Outcomes under faults and failovers: what callers were told against what
-   is in the log.  Ends with status 1 on a violation.  */
+/* bench_outcomes - outcomes of writes under faults and failovers.
+
+   Usage: bench_outcomes [SEEDS [FIRST_SEED]]
+
+   Compares the outcomes reported to callers with the content of the database
+   log.  Exits with status 1 if they contradict each other.  */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,17 +16,17 @@
 int
 main (int argc, char **argv)
 {
-  uint64_t first = 1;
+  uint64_t first_seed = 1;
   uint64_t seeds = argc > 1 ? strtoull (argv[1], NULL, 10) : SEEDS_DEFAULT;
   uint64_t writes = 0;
   uint64_t unknown = 0;
   uint64_t failovers = 0;
   uint64_t violations = 0;
   if (argc > 2)
-    first = strtoull (argv[2], NULL, 10);
+    first_seed = strtoull (argv[2], NULL, 10);
   puts ("outcomes: targets: 0 doubled, 0 lost, 0 not_run that ran, unknown < "
         "0.1% of non-repeatable requests");
-  for (uint64_t seed = first; seed < first + seeds; seed++)
+  for (uint64_t seed = first_seed; seed < first_seed + seeds; seed++)
     {
       struct outcomes o = outcomes_run (seed, SPAN_MS);
       printf ("seed=%llu writes=%u transactions=%u done=%u not_run=%u "
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -1,6 +1,10 @@
-/* Figures of the whole path on loopback, beside their targets: start to
-   ready, idle memory, added latency, and processor time and memory at a
-   host's share of the design size.  */
+/* bench_path - the request path from the caller to the database.
+
+   Runs a host that is entry and gateway, a host that is only entry, and
+   stand-ins for the platform and the database group, as processes on loopback.
+   Prints, each next to its target: time from start to ready, memory when idle,
+   added latency, and processor time and memory under the load that one host
+   has at the design size.  */
 
 #include <arpa/inet.h>
 #include <libpq-fe.h>
@@ -15,27 +19,28 @@
 #define CALLS 4000
 #define SLOW_CALLS 500
 #define WARM_UP_CALLS 100
+#define MAX_REPLY_BYTES 65536
+
+/* Load of one host at the design size.  */
 #define IDLE_CONNECTIONS 2700
 #define RATE_PER_S 366
 #define LOAD_S 10
-#define REPLY_ROOM 65536
 
 #define READY_TARGET_MS 200
 #define IDLE_TARGET_MB 20
 #define LATENCY_TARGET_MS 0.3
-#define LOAD_CORE_TARGET 10
+#define LOAD_CORE_TARGET_PERCENT 10 /* of one core */
 #define LOAD_TARGET_MB 128
 
-/* Ports of a host that was started.  */
-struct measured
+struct running_host
 {
   struct host process;
-  uint16_t callers;
+  uint16_t caller_port;
 };
 
-/* Starts a host and returns the time until it is ready.  */
+/* Starts a host.  Returns the time until it is ready, in ms.  */
 static double
-start_host (struct measured *host, const char *name, const char *domain,
+start_host (struct running_host *host, const char *name, const char *domain,
             uint16_t platform)
 {
   char *argv[] = { NULL,
@@ -48,16 +53,16 @@
                    "--operator-port=0",
                    "--rpc-port=0",
                    NULL };
-  double begin_ms = host_now_ms ();
+  double start_ms = host_now_ms ();
   host_start (&host->process, argv);
   host_wait_ready (host_port (&host->process, "operators"), "/readyz");
-  double taken_ms = host_now_ms () - begin_ms;
-  host->callers = host_port (&host->process, "callers");
+  double ready_ms = host_now_ms () - start_ms;
+  host->caller_port = host_port (&host->process, "callers");
   platform_put_host (platform, name, domain,
                      host_port (&host->process, "hosts"), "7");
   for (int i = 2; i <= 4; i++)
     free (argv[i]);
-  return taken_ms;
+  return ready_ms;
 }
 
 static double
@@ -75,7 +80,7 @@
   return (double)pages * (double)sysconf (_SC_PAGESIZE) / (1024 * 1024);
 }
 
-/* Processor time used so far, in seconds.  */
+/* Returns the processor time that PID has used so far, in seconds.  */
 static double
 processor_s (pid_t pid)
 {
@@ -118,11 +123,11 @@
   return fd;
 }
 
-/* Sends one statement on FD; returns whether its outcome is done.  */
+/* Sends one statement on FD.  Returns whether its outcome is "done".  */
 static bool
 client_call (int fd, const char *kind, const char *statement)
 {
-  static char reply[REPLY_ROOM];
+  static char reply[MAX_REPLY_BYTES];
   char body[512];
   char text[1024];
   size_t used = 0;
@@ -141,16 +146,16 @@
     return false;
   while (used < sizeof reply - 1)
     {
-      ssize_t got = read (fd, reply + used, sizeof reply - 1 - used);
-      if (got <= 0)
+      ssize_t received = read (fd, reply + used, sizeof reply - 1 - used);
+      if (received <= 0)
         return false;
-      used += (size_t)got;
+      used += (size_t)received;
       reply[used] = '\0';
       char *end = strstr (reply, "\r\n\r\n");
-      char *announced = strstr (reply, "Content-Length: ");
-      if (end != NULL && announced != NULL
+      char *content_length = strstr (reply, "Content-Length: ");
+      if (end != NULL && content_length != NULL
           && used >= (size_t)(end + 4 - reply)
-                         + strtoul (announced + 16, NULL, 10))
+                         + strtoul (content_length + 16, NULL, 10))
         return strstr (end, "\"outcome\":\"done\"") != NULL;
     }
   return false;
@@ -161,7 +166,7 @@
 #define WRITE_KEY "INSERT INTO kv (k, v) VALUES ($1, $2)"
 
 static int
-by_value (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -171,33 +176,34 @@
 static double
 median (double *values, size_t count)
 {
-  qsort (values, count, sizeof *values, by_value);
+  qsort (values, count, sizeof *values, compare_times);
   return values[count / 2];
 }
 
-/* Returns the median time of COUNT statements of KIND, up to CALLS.  */
+/* Returns the median latency of COUNT statements of KIND, in ms.  COUNT is at
+   most CALLS.  */
 static double
-median_through (uint16_t port, const char *kind, const char *statement,
-                size_t count)
+median_via_host (uint16_t port, const char *kind, const char *statement,
+                 size_t count)
 {
-  static double taken[CALLS];
+  static double latencies_ms[CALLS];
   int fd = client_connect (port);
   for (size_t i = 0; i < WARM_UP_CALLS; i++)
     standin_require (client_call (fd, kind, statement), "warm-up");
   for (size_t i = 0; i < count; i++)
     {
-      double begin_ms = host_now_ms ();
+      double start_ms = host_now_ms ();
       standin_require (client_call (fd, kind, statement), kind);
-      taken[i] = host_now_ms () - begin_ms;
+      latencies_ms[i] = host_now_ms () - start_ms;
     }
   close (fd);
-  return median (taken, count);
+  return median (latencies_ms, count);
 }
 
 static double
 median_direct (uint16_t port)
 {
-  static double taken[CALLS];
+  static double latencies_ms[CALLS];
   const char *params[] = { "k" };
   char *options = mem_printf ("host=127.0.0.1 port=%u user=savoryway "
                               "dbname=savoryway sslmode=disable",
@@ -206,18 +212,18 @@
   standin_require (PQstatus (conn) == CONNECTION_OK, "direct connection");
   for (size_t i = 0; i < CALLS + WARM_UP_CALLS; i++)
     {
-      double begin_ms = host_now_ms ();
+      double start_ms = host_now_ms ();
       PGresult *result
           = PQexecParams (conn, READ_KEY, 1, NULL, params, NULL, NULL, 0);
       standin_require (PQresultStatus (result) == PGRES_TUPLES_OK,
                        "direct read");
       PQclear (result);
       if (i >= WARM_UP_CALLS)
-        taken[i - WARM_UP_CALLS] = host_now_ms () - begin_ms;
+        latencies_ms[i - WARM_UP_CALLS] = host_now_ms () - start_ms;
     }
   PQfinish (conn);
   free (options);
-  return median (taken, CALLS);
+  return median (latencies_ms, CALLS);
 }
 
 static void
@@ -228,52 +234,56 @@
 }
 
 static void
-measure_latency (const struct measured *entry, const struct measured *gateway,
-                 uint16_t database)
+measure_latency (const struct running_host *entry,
+                 const struct running_host *gateway, uint16_t database)
 {
   double direct_ms = median_direct (database);
-  double local_ms = median_through (gateway->callers, "read", READ_KEY, CALLS);
-  double remote_ms = median_through (entry->callers, "read", READ_KEY, CALLS);
+  double local_ms
+      = median_via_host (gateway->caller_port, "read", READ_KEY, CALLS);
+  double remote_ms
+      = median_via_host (entry->caller_port, "read", READ_KEY, CALLS);
   printf ("%-52s %9.3f ms\n", "read straight to the stand-in, median",
           direct_ms);
   print_figure ("added by a host that is entry and gateway, median",
                 local_ms - direct_ms, "ms", LATENCY_TARGET_MS);
   print_figure ("added by entry host and gateway, median",
                 remote_ms - direct_ms, "ms", LATENCY_TARGET_MS);
-  printf ("%-52s %9.3f ms\n", "strong read, confirmed by a replica, median",
-          median_through (entry->callers, "strong", READ_KEY, SLOW_CALLS));
-  printf ("%-52s %9.3f ms\n", "write, received by a replica, median",
-          median_through (entry->callers, "write", UPDATE_KEY, SLOW_CALLS));
+  printf (
+      "%-52s %9.3f ms\n", "strong read, confirmed by a replica, median",
+      median_via_host (entry->caller_port, "strong", READ_KEY, SLOW_CALLS));
+  printf (
+      "%-52s %9.3f ms\n", "write, received by a replica, median",
+      median_via_host (entry->caller_port, "write", UPDATE_KEY, SLOW_CALLS));
 }
 
 static void
-measure_load (const struct measured *host)
+measure_load (const struct running_host *host)
 {
   int *idle = mem_zalloc (IDLE_CONNECTIONS * sizeof *idle);
   for (size_t i = 0; i < IDLE_CONNECTIONS; i++)
     {
-      idle[i] = client_connect (host->callers);
+      idle[i] = client_connect (host->caller_port);
       standin_require (client_call (idle[i], "read", READ_KEY),
                        "idle connection");
     }
-  int fd = client_connect (host->callers);
+  int fd = client_connect (host->caller_port);
   size_t count = (size_t)RATE_PER_S * LOAD_S;
-  double used_s = processor_s (host->process.pid);
-  double begin_ms = host_now_ms ();
+  double processor_spent_s = processor_s (host->process.pid);
+  double start_ms = host_now_ms ();
   for (size_t i = 0; i < count; i++)
     {
-      double due_ms = begin_ms + (double)i * 1000 / RATE_PER_S;
+      double due_ms = start_ms + (double)i * 1000 / RATE_PER_S;
       double wait_ms = due_ms - host_now_ms ();
       if (wait_ms > 0)
         usleep ((useconds_t)(wait_ms * 1000));
       standin_require (client_call (fd, "read", READ_KEY), "read under load");
     }
-  double span_s = (host_now_ms () - begin_ms) / 1000;
-  used_s = processor_s (host->process.pid) - used_s;
+  double span_s = (host_now_ms () - start_ms) / 1000;
+  processor_spent_s = processor_s (host->process.pid) - processor_spent_s;
   printf ("%-52s %9.1f /s\n", "statements with 2,700 idle connections",
           (double)count / span_s);
-  print_figure ("processor of that host", used_s / span_s * 100, "% of one",
-                LOAD_CORE_TARGET);
+  print_figure ("processor of that host", processor_spent_s / span_s * 100,
+                "% of one", LOAD_CORE_TARGET_PERCENT);
   print_figure ("resident memory of that host",
                 resident_mb (host->process.pid), "MB", LOAD_TARGET_MB);
   for (size_t i = 0; i < IDLE_CONNECTIONS; i++)
@@ -282,15 +292,15 @@
   free (idle);
 }
 
-/* Waits until the primary is known and a first write is done.  */
+/* Waits until HOST knows the primary and a first write succeeds.  */
 static void
-first_write (const struct measured *host)
+wait_first_write (const struct running_host *host)
 {
-  double until_ms = host_now_ms () + 20000;
+  double deadline_ms = host_now_ms () + 20000;
   bool done = false;
-  while (!done && host_now_ms () < until_ms)
+  while (!done && host_now_ms () < deadline_ms)
     {
-      int fd = client_connect (host->callers);
+      int fd = client_connect (host->caller_port);
       done = client_call (fd, "write", WRITE_KEY);
       close (fd);
       usleep (10000);
@@ -299,16 +309,17 @@
 }
 
 static void
-end_host (struct measured *host)
+stop_host (struct running_host *host)
 {
   kill (host->process.pid, SIGTERM);
-  standin_require (host_wait_exit (&host->process) == 0, "end of a host");
+  standin_require (host_wait_exit (&host->process) == 0,
+                   "clean exit of a host");
 }
 
 int
 main (void)
 {
-  struct measured gateway, entry;
+  struct running_host gateway, entry;
   struct standin platform, db;
   char *platform_argv[] = { NULL, NULL };
   char *db_argv[] = { NULL, NULL };
@@ -328,11 +339,11 @@
   start_host (&entry, "h2", "y", platform_port);
   print_figure ("idle resident memory", resident_mb (gateway.process.pid),
                 "MB", IDLE_TARGET_MB);
-  first_write (&entry);
+  wait_first_write (&entry);
   measure_latency (&entry, &gateway, standin_port (&db, "instance=a port="));
   measure_load (&gateway);
-  end_host (&entry);
-  end_host (&gateway);
+  stop_host (&entry);
+  stop_host (&gateway);
   standin_stop (&db);
   platform_stop (&platform);
   return 0;
--- a/bench/bench_pg.c
+++ b/bench/bench_pg.c
@@ -1,10 +1,10 @@
-/* bench_pg - latency of statements straight to an instance and through the
-   PostgreSQL port, one at a time on one connection over loopback.
+/* bench_pg - latency and memory of the PostgreSQL port.
 
-   The instance is the stand-in with statements that cost nothing, so the
-   figures are those of libpq, the round trips and the port.  Then the changes
-   of role that a change of primary takes, one after the other, and the memory
-   that idle connections take.  */
+   Measures statements sent straight to an instance and through the port, one
+   at a time on one connection over loopback.  The instance is a stand-in that
+   executes statements at no cost, so the figures are those of libpq, the round
+   trips and the port.  Also measures each role change that a change of primary
+   consists of, and the memory of idle connections.  */
 
 #include <libpq-fe.h>
 
@@ -14,7 +14,7 @@
 #include <time.h>
 
 #define ROUNDS 5000
-#define ROLE_ROUNDS 100
+#define ROLE_CHANGES 100
 #define INSTANCES 3
 #define CONNECTIONS 400
 #define ID_BYTES 32
@@ -45,7 +45,7 @@
 }
 
 static int
-compare (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -53,17 +53,17 @@
 }
 
 static void
-report_some (const char *name, double *rounds_us, size_t count)
+print_latencies (const char *name, double *rounds_us, size_t count)
 {
-  qsort (rounds_us, count, sizeof rounds_us[0], compare);
+  qsort (rounds_us, count, sizeof rounds_us[0], compare_times);
   printf ("%-28s median_us=%.0f p99_us=%.0f\n", name, rounds_us[count / 2],
           rounds_us[count * 99 / 100]);
 }
 
 static void
-report (struct bench *bench, const char *name)
+print_rounds (struct bench *bench, const char *name)
 {
-  report_some (name, bench->rounds_us, ROUNDS);
+  print_latencies (name, bench->rounds_us, ROUNDS);
 }
 
 static void
@@ -110,8 +110,8 @@
 }
 
 static void
-run_port (struct bench *bench, const char *name, struct db_job job,
-          bool with_id)
+run_via_port (struct bench *bench, const char *name, struct db_job job,
+              bool with_id)
 {
   static uint64_t next_id;
   char id[ID_BYTES];
@@ -126,7 +126,7 @@
       bench->rounds_us[i] = now_us () - start_us;
       standin_require (bench->status == DB_OK, name);
     }
-  report (bench, name);
+  print_rounds (bench, name);
 }
 
 static void
@@ -149,7 +149,7 @@
       execute (bench->direct, GET, 1);
       bench->rounds_us[i] = now_us () - start_us;
     }
-  report (bench, "direct read");
+  print_rounds (bench, "direct read");
 }
 
 static void
@@ -163,12 +163,12 @@
       execute (bench->direct, "COMMIT", 0);
       bench->rounds_us[i] = now_us () - start_us;
     }
-  report (bench, "direct begin, write, commit");
+  print_rounds (bench, "direct begin, write, commit");
 }
 
 static double
-run_role (struct bench *bench, struct db_conn *conn, enum db_job_kind kind,
-          uint64_t term, uint16_t follow_port)
+change_role (struct bench *bench, struct db_conn *conn, enum db_job_kind kind,
+             uint64_t term, uint16_t follow_port)
 {
   struct db_job job = { .kind = kind,
                         .term = term,
@@ -181,36 +181,39 @@
   return now_us () - start_us;
 }
 
-/* Moves the primary from instance to instance; each time the others are
-   sealed, and the old primary is fenced and follows the new one.  */
+/* Moves the primary from instance to instance.  Each time the other instances
+   are sealed and one of them is promoted; the old primary is fenced, and both
+   others follow the new primary.  */
 static void
-run_roles (struct bench *bench, const uint16_t ports[INSTANCES])
+run_role_changes (struct bench *bench, const uint16_t ports[INSTANCES])
 {
-  static double seal[ROLE_ROUNDS], promote[ROLE_ROUNDS], follow[ROLE_ROUNDS],
-      fence[ROLE_ROUNDS];
+  /* Times in microseconds.  */
+  static double seal[ROLE_CHANGES], promote[ROLE_CHANGES],
+      follow[ROLE_CHANGES], fence[ROLE_CHANGES];
   struct db_conn *conns[INSTANCES];
   for (int i = 0; i < INSTANCES; i++)
     {
       bench_open (bench, ports[i]);
       conns[i] = bench->conn;
     }
-  for (int i = 0; i < ROLE_ROUNDS; i++)
+  for (int i = 0; i < ROLE_CHANGES; i++)
     {
       uint64_t term = 2 + (uint64_t)i;
       int old = i % INSTANCES;
       int next = (i + 1) % INSTANCES;
-      int third = (i + 2) % INSTANCES;
-      seal[i] = run_role (bench, conns[next], DB_SEAL, term, 0);
-      run_role (bench, conns[third], DB_SEAL, term, 0);
-      promote[i] = run_role (bench, conns[next], DB_PROMOTE, term, 0);
-      fence[i] = run_role (bench, conns[old], DB_FENCE, term, 0);
-      follow[i] = run_role (bench, conns[third], DB_FOLLOW, term, ports[next]);
-      run_role (bench, conns[old], DB_FOLLOW, term, ports[next]);
+      int other = (i + 2) % INSTANCES;
+      seal[i] = change_role (bench, conns[next], DB_SEAL, term, 0);
+      change_role (bench, conns[other], DB_SEAL, term, 0);
+      promote[i] = change_role (bench, conns[next], DB_PROMOTE, term, 0);
+      fence[i] = change_role (bench, conns[old], DB_FENCE, term, 0);
+      follow[i]
+          = change_role (bench, conns[other], DB_FOLLOW, term, ports[next]);
+      change_role (bench, conns[old], DB_FOLLOW, term, ports[next]);
     }
-  report_some ("port DB_SEAL", seal, ROLE_ROUNDS);
-  report_some ("port DB_PROMOTE", promote, ROLE_ROUNDS);
-  report_some ("port DB_FOLLOW", follow, ROLE_ROUNDS);
-  report_some ("port DB_FENCE", fence, ROLE_ROUNDS);
+  print_latencies ("port DB_SEAL", seal, ROLE_CHANGES);
+  print_latencies ("port DB_PROMOTE", promote, ROLE_CHANGES);
+  print_latencies ("port DB_FOLLOW", follow, ROLE_CHANGES);
+  print_latencies ("port DB_FENCE", fence, ROLE_CHANGES);
 }
 
 static size_t
@@ -227,7 +230,8 @@
   return kib;
 }
 
-/* Opens connections, each with one read behind it, up to CONNECTIONS.  */
+/* Opens CONNECTIONS connections and executes one read on each.  Prints the
+   memory growth after every quarter.  */
 static void
 run_memory (struct bench *bench, uint16_t port)
 {
@@ -276,21 +280,21 @@
   bench.port = pg_port_new (bench.base, &options);
   connect_both (&bench, standin_port (&standin, "instance=a port="));
   run_direct_read (&bench);
-  run_port (&bench, "port DB_STATUS", (struct db_job){ .kind = DB_STATUS },
-            false);
-  run_port (&bench, "port DB_READ", read, false);
+  run_via_port (&bench, "port DB_STATUS", (struct db_job){ .kind = DB_STATUS },
+                false);
+  run_via_port (&bench, "port DB_READ", read, false);
   read.run_limit_ms = 1000;
-  run_port (&bench, "port DB_READ, run limit", read, false);
+  run_via_port (&bench, "port DB_READ, run limit", read, false);
   run_direct_write (&bench);
-  run_port (&bench, "port DB_WRITE", write, false);
-  run_port (&bench, "port DB_WRITE, request id", write, true);
+  run_via_port (&bench, "port DB_WRITE", write, false);
+  run_via_port (&bench, "port DB_WRITE, request id", write, true);
   PQfinish (bench.direct);
   bench.port->ops->close (bench.port, bench.conn);
   const uint16_t ports[INSTANCES]
       = { standin_port (&standin, "instance=a port="),
           standin_port (&standin, "instance=b port="),
           standin_port (&standin, "instance=c port=") };
-  run_roles (&bench, ports);
+  run_role_changes (&bench, ports);
   run_memory (&bench, ports[0]);
   pg_port_free (bench.port);
   event_base_free (bench.base);
--- a/bench/bench_reads.c
+++ b/bench/bench_reads.c
@@ -1,5 +1,9 @@
-/* Where reads are served: share of replicas with a small lag, and with one
-   of two replicas far behind; latency with one slow replica.  */
+/* bench_reads - distribution of reads over the instances.
+
+   Usage: bench_reads [SEEDS]
+
+   Measures the share of reads that replicas serve, with a small lag and with
+   one of two replicas far behind, and the latency with one slow replica.  */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,24 +15,24 @@
 #define SEEDS_DEFAULT 3
 #define COST_MIN_MS 4
 #define COST_MAX_MS 6
-#define WARM_MS 5000
-#define RUN_MS 30000
-#define FAR_MS 60000
+#define WARM_UP_MS 5000
+#define MEASURE_MS 30000
+#define LARGE_LAG_MS 60000
 #define SLOW_FACTOR 10
-#define EJECT_MS 3000
+#define DETECTION_MS 3000 /* for hosts to avoid the replica */
 
 struct bench
 {
   struct rig *rig;
   struct load *load;
-  struct load_stats *before;
-  struct load_stats *between;
+  struct load_stats *before;     /* no lag or slowdown yet */
+  struct load_stats *unmeasured; /* warm-up and detection */
   struct load_stats *after;
 };
 
 static void
-start (struct bench *b, const struct size *size, enum policy policy,
-       uint64_t seed, double rate)
+bench_start (struct bench *b, const struct size *size, enum policy policy,
+             uint64_t seed, double utilization)
 {
   const struct rig_options options = size_options (size, policy, seed);
   const struct load_options load_options = { .write_permille = 200,
@@ -40,23 +44,23 @@
   b->rig = rig_new (&options);
   b->load = load_new (b->rig, &load_options);
   b->before = mem_zalloc (sizeof *b->before);
-  b->between = mem_zalloc (sizeof *b->between);
+  b->unmeasured = mem_zalloc (sizeof *b->unmeasured);
   b->after = mem_zalloc (sizeof *b->after);
-  load_set_stats (b->load, b->between);
-  load_set_rate (b->load, rate * slots * 1000 / mean_ms);
-  rig_run (b->rig, WARM_MS);
+  load_set_stats (b->load, b->unmeasured);
+  load_set_rate (b->load, utilization * slots * 1000 / mean_ms);
+  rig_run (b->rig, WARM_UP_MS);
   load_set_stats (b->load, b->before);
-  rig_run (b->rig, RUN_MS);
-  load_set_stats (b->load, b->between);
+  rig_run (b->rig, MEASURE_MS);
+  load_set_stats (b->load, b->unmeasured);
 }
 
 static void
-end (struct bench *b)
+bench_end (struct bench *b)
 {
   load_free (b->load);
   rig_free (b->rig);
   free (b->before);
-  free (b->between);
+  free (b->unmeasured);
   free (b->after);
 }
 
@@ -68,29 +72,29 @@
 
 static void
 measure (const struct size *size, enum policy policy, uint64_t seed,
-         double rate)
+         double utilization)
 {
   struct bench b;
-  start (&b, size, policy, seed, rate);
+  bench_start (&b, size, policy, seed, utilization);
   printf ("%-10s %-5s load=%.1f seed=%llu replica_reads=%.4f stale=%llu "
           "p99_ms=%lld",
-          size->name, size_policy_name (policy), rate,
+          size->name, size_policy_name (policy), utilization,
           (unsigned long long)seed, replica_share (b.before),
           (unsigned long long)b.before->stale,
           (long long)load_percentile (&b.before->short_done, 990));
-  sim_instance_set_lag (rig_instance (b.rig, 0, 1), FAR_MS);
-  rig_run (b.rig, EJECT_MS);
+  sim_instance_set_lag (rig_instance (b.rig, 0, 1), LARGE_LAG_MS);
+  rig_run (b.rig, DETECTION_MS);
   load_set_stats (b.load, b.after);
-  rig_run (b.rig, RUN_MS);
+  rig_run (b.rig, MEASURE_MS);
   printf (" one_behind: replica_reads=%.4f stale=%llu p99_ms=%lld",
           replica_share (b.after), (unsigned long long)b.after->stale,
           (long long)load_percentile (&b.after->short_done, 990));
-  end (&b);
-  start (&b, size, policy, seed, rate);
+  bench_end (&b);
+  bench_start (&b, size, policy, seed, utilization);
   sim_instance_set_slowdown (rig_instance (b.rig, 0, 1), SLOW_FACTOR);
-  rig_run (b.rig, EJECT_MS);
+  rig_run (b.rig, DETECTION_MS);
   load_set_stats (b.load, b.after);
-  rig_run (b.rig, RUN_MS);
+  rig_run (b.rig, MEASURE_MS);
   printf (" one_slow: p99_before_ms=%lld p99_ms=%lld replica_reads=%.4f "
           "refused=%llu unknown=%llu\n",
           (long long)load_percentile (&b.before->short_done, 990),
@@ -98,7 +102,7 @@
           replica_share (b.after), (unsigned long long)b.after->refused.count,
           (unsigned long long)b.after->unknown);
   fflush (stdout);
-  end (&b);
+  bench_end (&b);
 }
 
 int
--- a/bench/bench_scale.c
+++ b/bench/bench_scale.c
@@ -1,7 +1,8 @@
-/* Memory and processor time of the shared state of one host, and placements
-   moved by churn, at several sizes up to the design size.
+/* bench_scale - shared state of one host at several fleet sizes.
 
-   Usage: bench_scale  */
+   Prints memory and processor time of the hosts, coordinators and term records
+   that one host holds, and the share of placements that move when hosts are
+   replaced, for sizes up to the design size.  */
 
 #include <malloc.h>
 #include <stdio.h>
@@ -15,7 +16,7 @@
 #include "kernel/mem.h"
 
 #define DOMAINS 6
-#define CHANGES 50
+#define CHANGES 50 /* over which a time is averaged */
 
 struct size
 {
@@ -27,7 +28,7 @@
   { 17, 6 }, { 256, 412 }, { 1024, 1648 }, { 2048, 3296 }, { 4100, 6600 },
 };
 
-struct rig
+struct fixture
 {
   struct clk_virtual clk;
   struct rng rng;
@@ -40,7 +41,7 @@
 };
 
 static void
-no_line (void *arg, int priority, const char *line)
+discard_line (void *arg, int priority, const char *line)
 {
   (void)arg;
   (void)priority;
@@ -74,34 +75,36 @@
 }
 
 static void
-rig_init (struct rig *rig)
+fixture_init (struct fixture *fixture)
 {
   struct platform_host self = make_host (0, 1);
   struct member member = { .address.port = 7000, .address.incarnation = 1 };
-  memset (rig, 0, sizeof *rig);
-  clk_virtual_init (&rig->clk, 1000);
-  rng_init (&rig->rng, 1);
-  rig->log = log_new (&rig->clk.base, LOG_EMERG, 0, no_line, NULL);
-  rig->kernel = kernel_new (&rig->clk.base, &rig->rng, rig->log);
+  memset (fixture, 0, sizeof *fixture);
+  clk_virtual_init (&fixture->clk, 1000);
+  rng_init (&fixture->rng, 1);
+  fixture->log
+      = log_new (&fixture->clk.base, LOG_EMERG, 0, discard_line, NULL);
+  fixture->kernel
+      = kernel_new (&fixture->clk.base, &fixture->rng, fixture->log);
   memcpy (member.address.name, self.name, sizeof self.name);
   memcpy (member.domain, self.domain, sizeof self.domain);
-  rig->view = view_new ();
-  rig->members = members_new (&member);
-  rig->terms = terms_new ();
-  kernel_register (rig->kernel, members_module (rig->members));
-  kernel_register (rig->kernel, terms_module (rig->terms));
-  kernel_start (rig->kernel);
-  sync_state_init (&rig->state, rig->kernel, rig->view, rig->members,
-                   rig->terms);
+  fixture->view = view_new ();
+  fixture->members = members_new (&member);
+  fixture->terms = terms_new ();
+  kernel_register (fixture->kernel, members_module (fixture->members));
+  kernel_register (fixture->kernel, terms_module (fixture->terms));
+  kernel_start (fixture->kernel);
+  sync_state_init (&fixture->state, fixture->kernel, fixture->view,
+                   fixture->members, fixture->terms);
 }
 
 static void
-rig_clear (struct rig *rig)
+fixture_clear (struct fixture *fixture)
 {
-  sync_state_clear (&rig->state);
-  kernel_free (rig->kernel);
-  view_free (rig->view);
-  log_free (rig->log);
+  sync_state_clear (&fixture->state);
+  kernel_free (fixture->kernel);
+  view_free (fixture->view);
+  log_free (fixture->log);
 }
 
 static struct platform_host *
@@ -122,45 +125,45 @@
 static void
 measure_members (const struct size *size)
 {
-  struct rig rig;
+  struct fixture fixture;
   struct platform_host *hosts = make_hosts (size->hosts);
   const struct member *out[3];
   char key[PATH_BYTES];
-  rig_init (&rig);
+  fixture_init (&fixture);
   size_t heap = heap_bytes ();
-  double began = cpu_us ();
-  sync_hosts_set (&rig.state.hosts, 1, hosts, size->hosts);
-  double listed = cpu_us ();
+  double start_us = cpu_us ();
+  sync_hosts_set (&fixture.state.hosts, 1, hosts, size->hosts);
+  double list_end_us = cpu_us ();
   size_t bytes = heap_bytes () - heap;
 
   for (size_t i = 1; i <= CHANGES; i++)
     {
       struct platform_host changed = make_host (i % size->hosts, 2 + i);
-      sync_hosts_change (&rig.state.hosts, 1 + i, &changed, false);
-      sync_hosts_commit (&rig.state.hosts, 1 + i);
+      sync_hosts_change (&fixture.state.hosts, 1 + i, &changed, false);
+      sync_hosts_commit (&fixture.state.hosts, 1 + i);
     }
-  double changed = cpu_us ();
+  double change_end_us = cpu_us ();
   for (size_t i = 0; i < size->databases; i++)
     {
       database_name (i, key, sizeof key);
-      members_place (rig.members, key, "domain-1", out, 2);
+      members_place (fixture.members, key, "domain-1", out, 2);
     }
-  double placed = cpu_us ();
+  double place_end_us = cpu_us ();
   for (size_t i = 0; i < size->databases; i++)
     {
       database_name (i, key, sizeof key);
-      members_place_spread (rig.members, key, out, 3);
+      members_place_spread (fixture.members, key, out, 3);
     }
-  double spread = cpu_us ();
+  double spread_end_us = cpu_us ();
   printf ("hosts     %5zu: heap %8zu B (%4zu B/host)  list %7.0f us  change "
           "%6.0f us  place in domain %6.2f us  spread %6.2f us  all %zu "
           "coordinators %8.0f us\n",
           size->hosts, bytes, (size_t)((double)bytes / (double)size->hosts),
-          listed - began, (changed - listed) / CHANGES,
-          (placed - changed) / (double)size->databases,
-          (spread - placed) / (double)size->databases, size->databases,
-          spread - placed);
-  rig_clear (&rig);
+          list_end_us - start_us, (change_end_us - list_end_us) / CHANGES,
+          (place_end_us - change_end_us) / (double)size->databases,
+          (spread_end_us - place_end_us) / (double)size->databases,
+          size->databases, spread_end_us - place_end_us);
+  fixture_clear (&fixture);
   free (hosts);
 }
 
@@ -178,18 +181,19 @@
   return record;
 }
 
-/* Size of what travels for PULL, in bytes of XDR.  */
+/* Returns the XDR size in bytes of the update that answers PULL, and in
+   BUILD_US the time to build and copy it.  */
 static size_t
-update_bytes (struct rig *rig, const peer_pull *pull, double *build_us)
+update_bytes (struct fixture *fixture, const peer_pull *pull, double *build_us)
 {
   char name[] = "entry-00000", domain[] = "domain-0";
   peer_message message = { .from = { .host = name, .domain = domain },
                            .body.kind = PEER_KIND_UPDATE };
-  double began = cpu_us ();
-  sync_update_build (&rig->state, pull, rig->state.seq,
+  double start_us = cpu_us ();
+  sync_update_build (&fixture->state, pull, fixture->state.seq,
                      &message.body.peer_body_u.update);
   peer_message *copy = peers_message_copy (&message);
-  *build_us = cpu_us () - began;
+  *build_us = cpu_us () - start_us;
   size_t bytes = xdr_sizeof ((xdrproc_t)xdr_peer_message, &message);
   peers_message_free (copy);
   sync_update_clear (&message.body.peer_body_u.update);
@@ -199,64 +203,64 @@
 static void
 measure_terms (const struct size *size)
 {
-  struct rig rig;
+  struct fixture fixture;
   char name[PATH_BYTES];
-  rig_init (&rig);
+  fixture_init (&fixture);
   size_t heap = heap_bytes ();
-  double began = cpu_us ();
+  double start_us = cpu_us ();
   for (size_t i = 0; i < size->databases; i++)
     {
       struct term_record record = make_record (i, 2);
       database_name (i, name, sizeof name);
-      terms_set (rig.terms, name, i + 1, &record);
+      terms_set (fixture.terms, name, i + 1, &record);
     }
-  double set = cpu_us ();
-  sync_state_set_terms_index (&rig.state, size->databases, 1000);
+  double set_end_us = cpu_us ();
+  sync_state_set_terms_index (&fixture.state, size->databases, 1000);
   double full_us, delta_us;
   peer_pull pull = { 0 };
-  size_t full = update_bytes (&rig, &pull, &full_us);
+  size_t full = update_bytes (&fixture, &pull, &full_us);
   pull.terms_index = size->databases - 1;
-  size_t delta = update_bytes (&rig, &pull, &delta_us);
+  size_t delta = update_bytes (&fixture, &pull, &delta_us);
   pull.terms_index = size->databases;
   double idle_us;
-  size_t idle = update_bytes (&rig, &pull, &idle_us);
+  size_t idle = update_bytes (&fixture, &pull, &idle_us);
   size_t bytes = heap_bytes () - heap;
   printf ("databases %5zu: heap %8zu B (%4zu B/record)  set %5.2f us  full "
           "update %8zu B %8.0f us  one record %4zu B %4.0f us  idle %3zu B "
           "%3.0f us\n",
           size->databases, bytes,
           (size_t)((double)bytes / (double)size->databases),
-          (set - began) / (double)size->databases, full, full_us, delta,
-          delta_us, idle, idle_us);
-  rig_clear (&rig);
+          (set_end_us - start_us) / (double)size->databases, full, full_us,
+          delta, delta_us, idle, idle_us);
+  fixture_clear (&fixture);
 }
 
-/* How many of the databases' placements differ after CHURN hosts have been
-   replaced by others, against the least that must move.  */
+/* Prints the share of databases whose placement changes when CHURN hosts are
+   replaced by new ones, next to the least share that must change.  */
 static void
 measure_churn (const struct size *size, size_t churn)
 {
-  struct rig rig;
+  struct fixture fixture;
   struct platform_host *hosts = make_hosts (size->hosts);
   const struct member *out[1];
   char key[PATH_BYTES];
-  rig_init (&rig);
-  members_set_list (rig.members, 1, hosts, size->hosts);
+  fixture_init (&fixture);
+  members_set_list (fixture.members, 1, hosts, size->hosts);
   char (*before)[NAME_BYTES] = mem_zalloc (size->databases * NAME_BYTES);
   for (size_t i = 0; i < size->databases; i++)
     {
       database_name (i, key, sizeof key);
-      members_place (rig.members, key, NULL, out, 1);
+      members_place (fixture.members, key, NULL, out, 1);
       memcpy (before[i], out[0]->address.name, NAME_BYTES);
     }
   for (size_t i = 0; i < churn; i++)
     hosts[1 + i] = make_host (size->hosts + i, 1);
-  members_set_list (rig.members, 2, hosts, size->hosts);
+  members_set_list (fixture.members, 2, hosts, size->hosts);
   size_t moved = 0;
   for (size_t i = 0; i < size->databases; i++)
     {
       database_name (i, key, sizeof key);
-      members_place (rig.members, key, NULL, out, 1);
+      members_place (fixture.members, key, NULL, out, 1);
       moved += strcmp (before[i], out[0]->address.name) != 0;
     }
   double share = (double)churn / (double)size->hosts;
@@ -266,19 +270,19 @@
           size->hosts, churn, (double)moved / (double)size->databases, share,
           ideal);
   free (before);
-  rig_clear (&rig);
+  fixture_clear (&fixture);
   free (hosts);
 }
 
 static void
-count_rank (void *arg, struct view_database *database, size_t rank)
+count_own (void *arg, struct view_database *database, size_t rank)
 {
   (void)database;
   *(size_t *)arg += rank != COORDINATORS_NO_RANK;
 }
 
 static void
-add_databases (struct rig *rig, size_t count)
+add_databases (struct fixture *fixture, size_t count)
 {
   struct findings findings = { 0 };
   char team[NAME_BYTES];
@@ -297,48 +301,48 @@
       fputs ("}}}}", out);
       fclose (out);
       snprintf (team, sizeof team, "team-%zu", first / 30);
-      if (!view_apply (rig->view, team, json, bytes, &findings))
+      if (!view_apply (fixture->view, team, json, bytes, &findings))
         abort ();
       free (json);
     }
 }
 
 static double
-run_coordinators (struct coordinators *c, size_t *own)
+update_coordinators (struct coordinators *c, size_t *own)
 {
-  double began = cpu_us ();
+  double start_us = cpu_us ();
   do
-    coordinators_step (c, count_rank, own);
+    coordinators_step (c, count_own, own);
   while (coordinators_due (c) > 0);
-  return cpu_us () - began;
+  return cpu_us () - start_us;
 }
 
 static void
 measure_coordinators (const struct size *size)
 {
-  struct rig rig;
+  struct fixture fixture;
   struct platform_host *hosts = make_hosts (size->hosts);
-  size_t own = 0, again = 0, heap;
-  rig_init (&rig);
-  members_set_list (rig.members, 1, hosts, size->hosts);
-  add_databases (&rig, size->databases);
+  size_t own = 0, own_after_change = 0, heap;
+  fixture_init (&fixture);
+  members_set_list (fixture.members, 1, hosts, size->hosts);
+  add_databases (&fixture, size->databases);
   heap = heap_bytes ();
-  struct coordinators *c = coordinators_new (rig.members, rig.view);
-  double first_us = run_coordinators (c, &own);
+  struct coordinators *c = coordinators_new (fixture.members, fixture.view);
+  double first_us = update_coordinators (c, &own);
   heap = heap_bytes () - heap;
   double change_us = 0;
   for (size_t i = 1; i <= CHANGES; i++)
     {
       hosts[i % size->hosts].leaving = !hosts[i % size->hosts].leaving;
-      members_set_list (rig.members, 1 + i, hosts, size->hosts);
-      change_us += run_coordinators (c, &again);
+      members_set_list (fixture.members, 1 + i, hosts, size->hosts);
+      change_us += update_coordinators (c, &own_after_change);
     }
   printf ("coordinators %4zu hosts %4zu databases: heap %7zu B  first "
           "%7.0f us  each change of a host %5.0f us  own %zu\n",
           size->hosts, size->databases, heap, first_us, change_us / CHANGES,
           own);
   coordinators_free (c);
-  rig_clear (&rig);
+  fixture_clear (&fixture);
   free (hosts);
 }
 
--- a/bench/bench_view.c
+++ b/bench/bench_view.c
@@ -1,4 +1,5 @@
-/* Memory and time of the view at several numbers of databases.  */
+/* bench_view - memory and speed of the view at several numbers of
+   databases.  */
 
 #include <malloc.h>
 #include <stdio.h>
@@ -71,6 +72,7 @@
   free (json);
 }
 
+/* Returns the time of one look-up by name; -1 if a look-up failed.  */
 static double
 lookup_ns (struct view *view, size_t count)
 {
@@ -88,21 +90,22 @@
   return found == LOOKUPS ? spent_ms * 1e6 / LOOKUPS : -1;
 }
 
-/* Time to verify a caller's secret, which each request does.  */
+/* Returns the time to verify a caller's secret, as each request does; -1 if a
+   verification failed.  */
 static double
 verify_ns (void)
 {
   static const uint8_t salt[VIEW_SALT_BYTES] = { 1 };
   char hash[VIEW_SECRET_HASH_BYTES];
   const char *secret = "0123456789abcdef0123456789abcdef";
-  size_t right = 0;
+  size_t verified = 0;
   view_secret_hash (secret, salt, hash);
   const struct view_caller caller = { .secret_hash = hash };
   double start_ms = now_ms ();
   for (size_t i = 0; i < VERIFICATIONS; i++)
-    right += view_caller_verify (&caller, secret);
+    verified += view_caller_verify (&caller, secret);
   double spent_ms = now_ms () - start_ms;
-  return right == VERIFICATIONS ? spent_ms * 1e6 / VERIFICATIONS : -1;
+  return verified == VERIFICATIONS ? spent_ms * 1e6 / VERIFICATIONS : -1;
 }
 
 static void
@@ -113,9 +116,9 @@
   double start_ms = now_ms ();
   for (size_t i = 0; i < count; i += DATABASES_PER_TEAM)
     {
-      size_t rest = count - i;
+      size_t remaining = count - i;
       apply (view, i / DATABASES_PER_TEAM,
-             rest < DATABASES_PER_TEAM ? rest : DATABASES_PER_TEAM);
+             remaining < DATABASES_PER_TEAM ? remaining : DATABASES_PER_TEAM);
     }
   double load_ms = now_ms () - start_ms;
   view_first_database (view);
--- a/bench/load_mix.c
+++ b/bench/load_mix.c
@@ -24,8 +24,8 @@
   struct load *load;
   size_t index;
   char token[TOKEN_LIMIT_BYTES];
-  uint64_t written; /* last value tried */
-  uint64_t seen;    /* highest value known to be there */
+  uint64_t written; /* last value submitted */
+  uint64_t seen;    /* highest value acknowledged or read */
   bool writing;
   bool is_long;
   clk_ms started_ms;
@@ -47,11 +47,11 @@
 };
 
 static void
-note_time (struct load_times *times, clk_ms spent_ms)
+record_latency (struct load_latencies *latencies, clk_ms spent_ms)
 {
   clk_ms bucket = spent_ms < LOAD_BUCKETS ? spent_ms : LOAD_BUCKETS - 1;
-  times->count++;
-  times->buckets[bucket]++;
+  latencies->count++;
+  latencies->buckets[bucket]++;
 }
 
 static uint64_t
@@ -67,13 +67,14 @@
 }
 
 static void
-note_done (struct load_session *s, const struct entry_answer *answer)
+record_done (struct load_session *s, const struct entry_answer *answer)
 {
   struct load_stats *stats = s->stats;
   if (s->writing)
     {
       s->seen = s->written;
-      note_time (&stats->write_done, rig_now (s->load->rig) - s->started_ms);
+      record_latency (&stats->write_done,
+                      rig_now (s->load->rig) - s->started_ms);
       return;
     }
   uint64_t value = payload_value (answer);
@@ -92,12 +93,12 @@
   clk_ms spent_ms = rig_now (s->load->rig) - s->started_ms;
   if (answer->outcome == OUTCOME_DONE)
     {
-      note_done (s, answer);
-      note_time (s->is_long ? &stats->long_done : &stats->short_done,
-                 spent_ms);
+      record_done (s, answer);
+      record_latency (s->is_long ? &stats->long_done : &stats->short_done,
+                      spent_ms);
     }
   else if (answer->outcome == OUTCOME_NOT_RUN)
-    note_time (&stats->refused, spent_ms);
+    record_latency (&stats->refused, spent_ms);
   else
     stats->unknown++;
   if (answer->token != NULL)
@@ -107,7 +108,7 @@
 }
 
 static struct load_session *
-take_session (struct load *load)
+acquire_session (struct load *load)
 {
   struct load_session *s = load->idle;
   if (s != NULL)
@@ -138,7 +139,7 @@
   const struct load_options *o = &load->options;
   struct rng *rng = rig_rng (load->rig);
   char statement[96];
-  struct load_session *s = take_session (load);
+  struct load_session *s = acquire_session (load);
   if (s == NULL)
     return;
   s->is_long = rng_below (rng, 1000) < o->long_permille;
@@ -170,7 +171,8 @@
   entry_submit (rig_entry (load->rig, host), &request, on_answer, s);
 }
 
-/* Draws a number of arrivals with mean MEAN (Poisson).  */
+/* Returns a random number of arrivals, Poisson distributed with MEAN (Knuth's
+   algorithm).  */
 static uint32_t
 draw_arrivals (struct rng *rng, double mean)
 {
@@ -246,13 +248,13 @@
 }
 
 clk_ms
-load_percentile (const struct load_times *times, uint32_t permille)
+load_percentile (const struct load_latencies *latencies, uint32_t permille)
 {
-  uint64_t rank = (times->count * permille + 999) / 1000;
+  uint64_t rank = (latencies->count * permille + 999) / 1000;
   uint64_t sum = 0;
   for (size_t i = 0; i < LOAD_BUCKETS; i++)
     {
-      sum += times->buckets[i];
+      sum += latencies->buckets[i];
       if (sum >= rank && sum > 0)
         return (clk_ms)i;
     }
--- a/bench/load_mix.h
+++ b/bench/load_mix.h
@@ -1,28 +1,31 @@
-/* load_mix - open-loop load on a rig, checked for stale reads.
+/* load_mix - open-loop load of short reads, writes and long reads.
 
-   Requests arrive at random times at random hosts.  Each belongs to a
-   session that writes a counter under a key of its own and reads it back
-   with its token: a read below what the session has seen is stale.  */
+   Requests arrive at random times at random hosts of a rig.  Each belongs to a
+   session, which writes a counter under a key of its own and reads it with its
+   session token.  A read that returns less than the session has already seen
+   is counted as stale.  */
 
 #ifndef SAVORYWAY_BENCH_LOAD_MIX_H
 #define SAVORYWAY_BENCH_LOAD_MIX_H
 
 #include "sim_rig.h"
 
-#define LOAD_BUCKETS 8192 /* of one millisecond */
-#define LOAD_SESSIONS 65536
+#define LOAD_BUCKETS 8192   /* of 1 ms; the last one takes all above */
+#define LOAD_SESSIONS 65536 /* at most */
 
-/* Kinds of the load: "release" writes once, "count" reads for a session,
-   "history" reads for long.  */
+/* Configuration of the request kinds, as JSON: "release" is a write that is
+   not repeatable, "count" a session read, "exact" a strong read, and "history"
+   a session read that takes long.  */
 extern const char load_kinds[];
 
-struct load_times
+/* Histogram of latencies.  */
+struct load_latencies
 {
   uint64_t count;
   uint32_t buckets[LOAD_BUCKETS];
 };
 
-/* What became of the requests submitted while it was current.  */
+/* Results of the requests that were submitted while it was current.  */
 struct load_stats
 {
   uint64_t submitted;
@@ -31,19 +34,19 @@
   uint64_t reads;
   uint64_t replica_reads; /* not served by instance i0 */
   uint64_t long_submitted;
-  struct load_times short_done;
-  struct load_times write_done; /* also in short_done */
-  struct load_times long_done;
-  struct load_times refused;
+  struct load_latencies short_done;
+  struct load_latencies write_done; /* also in short_done */
+  struct load_latencies long_done;
+  struct load_latencies refused;
 };
 
 struct load_options
 {
-  uint32_t write_permille;
-  uint32_t long_permille;
-  clk_ms short_min_ms;
+  uint32_t write_permille; /* of the short requests */
+  uint32_t long_permille;  /* of all requests */
+  clk_ms short_min_ms;     /* run time of a short request */
   clk_ms short_max_ms;
-  clk_ms long_ms;
+  clk_ms long_ms; /* run time of a long request */
   clk_ms deadline_ms;
   clk_ms long_deadline_ms;
 };
@@ -53,14 +56,18 @@
 struct load *load_new (struct rig *rig, const struct load_options *options);
 void load_free (struct load *load);
 
-/* Sets the arrivals a second, and where they are counted.  */
+/* Sets the mean arrival rate.  Arrivals are a Poisson process.  */
 void load_set_rate (struct load *load, double rate_per_s);
+
+/* Counts the requests submitted from now on in STATS.  */
 void load_set_stats (struct load *load, struct load_stats *stats);
 
-/* Moves the rate evenly to RATE_PER_S within SPAN_MS, running the rig.  */
+/* Runs the rig for SPAN_MS while the rate changes linearly to RATE_PER_S.  */
 void load_ramp (struct load *load, double rate_per_s, clk_ms span_ms);
 
-/* Latency below which PERMILLE of TIMES lie; 0 if there are none.  */
-clk_ms load_percentile (const struct load_times *times, uint32_t permille);
+/* Returns the latency that PERMILLE of LATENCIES do not exceed; 0 if there
+   are none.  */
+clk_ms load_percentile (const struct load_latencies *latencies,
+                        uint32_t permille);
 
 #endif
--- a/bench/load_outcomes.c
+++ b/bench/load_outcomes.c
@@ -9,12 +9,15 @@
 #define HOSTS 7
 #define DOMAINS 3
 #define STEP_MS 5
-#define WARM_MS 1000
+#define WARM_UP_MS 1000
 #define SETTLE_MS 60000
 #define SESSIONS 24
 #define CONNECTIONS 40
+
+/* A failover follows a fault after DETECT_MIN_MS plus a random time of less
+   than DETECT_JITTER_MS.  */
 #define DETECT_MIN_MS 500
-#define DETECT_SPAN_MS 2000
+#define DETECT_JITTER_MS 2000
 
 static const char kinds[]
     = "{\"release\": {\"write\": true, \"repeatable\": false, \"ack\": "
@@ -48,7 +51,7 @@
   struct rig_request request;
   char token[TOKEN_LIMIT_BYTES];
   char transaction[1024];
-  char last_key[32]; /* whose write was acknowledged */
+  char last_key[32]; /* of the last acknowledged write */
 };
 
 struct run
@@ -62,9 +65,9 @@
   uint64_t term;
   size_t primary;
   clk_ms next_fault_ms;
-  clk_ms heal_ms;    /* when the present fault ends; 0 if none */
-  clk_ms promote_ms; /* when a failover is carried out; 0 if none */
-  size_t hurt;       /* instance or host */
+  clk_ms fault_end_ms; /* end of the current fault; 0 if none */
+  clk_ms promote_ms;   /* time of the next failover; 0 if none */
+  size_t fault_target; /* index of an instance or host */
   int fault;
 };
 
@@ -74,7 +77,7 @@
   FAULT_ISOLATE,
   FAULT_KILL,
   FAULT_FREEZE_AND_REPLACE,
-  FAULT_LOSE,
+  FAULT_LOSE_ANSWERS,
   FAULT_CUT_HOST,
   FAULT_CUT_DOMAINS,
   FAULT_COUNT
@@ -87,23 +90,24 @@
 }
 
 static void
-heal (struct run *run)
+end_fault (struct run *run)
 {
-  struct sim_instance *hurt = instance (run, run->hurt % RIG_INSTANCES);
+  struct sim_instance *faulty
+      = instance (run, run->fault_target % RIG_INSTANCES);
   switch (run->fault)
     {
     case FAULT_FREEZE:
     case FAULT_FREEZE_AND_REPLACE:
-      sim_instance_freeze (hurt, false);
+      sim_instance_freeze (faulty, false);
       break;
     case FAULT_ISOLATE:
-      sim_instance_isolate (hurt, false);
+      sim_instance_isolate (faulty, false);
       break;
     case FAULT_KILL:
-      sim_instance_restart (hurt);
+      sim_instance_restart (faulty);
       break;
     case FAULT_CUT_HOST:
-      rig_cut_host (run->rig, run->hurt, false);
+      rig_cut_host (run->rig, run->fault_target, false);
       break;
     case FAULT_CUT_DOMAINS:
       sim_world_cut (rig_world (run->rig), "z0", "z1", false);
@@ -111,19 +115,19 @@
     default:
       break;
     }
-  run->heal_ms = 0;
+  run->fault_end_ms = 0;
 }
 
 static void
-begin_fault (struct run *run)
+start_fault (struct run *run)
 {
   struct rng *rng = &run->rng;
   clk_ms now_ms = rig_now (run->rig);
   struct sim_instance *primary = instance (run, run->primary);
   bool replace = false;
   run->fault = (int)rng_below (rng, FAULT_COUNT);
-  run->hurt = run->primary;
-  run->heal_ms = now_ms + 200 + (clk_ms)rng_below (rng, 3000);
+  run->fault_target = run->primary;
+  run->fault_end_ms = now_ms + 200 + (clk_ms)rng_below (rng, 3000);
   switch (run->fault)
     {
     case FAULT_FREEZE:
@@ -141,12 +145,12 @@
       sim_instance_kill (primary);
       replace = true;
       break;
-    case FAULT_LOSE:
+    case FAULT_LOSE_ANSWERS:
       sim_instance_lose_answers (primary, 1 + (uint32_t)rng_below (rng, 5));
       break;
     case FAULT_CUT_HOST:
-      run->hurt = (size_t)rng_below (rng, HOSTS);
-      rig_cut_host (run->rig, run->hurt, true);
+      run->fault_target = (size_t)rng_below (rng, HOSTS);
+      rig_cut_host (run->rig, run->fault_target, true);
       break;
     case FAULT_CUT_DOMAINS:
       sim_world_cut (rig_world (run->rig), "z0", "z1", true);
@@ -158,11 +162,11 @@
   if (!replace)
     return;
   run->promote_ms
-      = now_ms + DETECT_MIN_MS + (clk_ms)rng_below (rng, DETECT_SPAN_MS);
-  run->heal_ms += DETECT_MIN_MS + DETECT_SPAN_MS;
+      = now_ms + DETECT_MIN_MS + (clk_ms)rng_below (rng, DETECT_JITTER_MS);
+  run->fault_end_ms += DETECT_MIN_MS + DETECT_JITTER_MS;
 }
 
-/* Replaces the primary by the furthest of the others.  */
+/* Promotes the replica with the longest log in place of the primary.  */
 static void
 fail_over (struct run *run)
 {
@@ -195,23 +199,23 @@
 }
 
 static void
-drive_faults (struct run *run)
+step_faults (struct run *run)
 {
   clk_ms now_ms = rig_now (run->rig);
   if (run->promote_ms != 0 && now_ms >= run->promote_ms)
     fail_over (run);
-  if (run->heal_ms != 0 && now_ms >= run->heal_ms)
+  if (run->fault_end_ms != 0 && now_ms >= run->fault_end_ms)
     {
-      heal (run);
+      end_fault (run);
       follow_primary (run);
       run->next_fault_ms = now_ms + 500 + (clk_ms)rng_below (&run->rng, 3000);
     }
-  if (run->heal_ms == 0 && now_ms >= run->next_fault_ms)
-    begin_fault (run);
+  if (run->fault_end_ms == 0 && now_ms >= run->next_fault_ms)
+    start_fault (run);
 }
 
 static size_t
-any_host (struct run *run)
+random_host (struct run *run)
 {
   return (size_t)rng_below (&run->rng, HOSTS);
 }
@@ -230,56 +234,58 @@
 }
 
 static void
-act (struct run *run, struct session_run *s, struct rig_request *request,
-     enum entry_action action, const char *statement, const char *id)
+submit_action (struct run *run, struct session_run *s,
+               struct rig_request *request, enum entry_action action,
+               const char *statement, const char *id)
 {
-  rig_submit_action (run->rig, any_host (run), request, action, "release",
+  rig_submit_action (run->rig, random_host (run), request, action, "release",
                      statement, s->token, id, s->transaction);
 }
 
 static void
-begin_next (struct run *run, struct session_run *s)
+start_request (struct run *run, struct session_run *s)
 {
   char statement[64];
-  uint64_t what = rng_below (&run->rng, 10);
+  uint64_t choice = rng_below (&run->rng, 10);
   if (rng_below (&run->rng, 4) != 0)
     return;
-  if (what < 5)
+  if (choice < 5)
     {
       s->write = new_write (run);
       snprintf (statement, sizeof statement, "put %s 1", s->write->key);
       s->state = SESSION_WRITING;
-      act (run, s, &s->write->request, ENTRY_STATEMENT, statement,
-           s->write->id);
+      submit_action (run, s, &s->write->request, ENTRY_STATEMENT, statement,
+                     s->write->id);
     }
-  else if (what < 7)
+  else if (choice < 7)
     {
       s->state = SESSION_BEGIN;
       s->transaction[0] = '\0';
-      act (run, s, &s->request, ENTRY_BEGIN, NULL, NULL);
+      submit_action (run, s, &s->request, ENTRY_BEGIN, NULL, NULL);
     }
   else if (s->last_key[0] != '\0')
     {
       snprintf (statement, sizeof statement, "get %s", s->last_key);
       s->state = SESSION_READING;
-      rig_submit (run->rig, any_host (run), &s->request, "count", statement,
+      rig_submit (run->rig, random_host (run), &s->request, "count", statement,
                   s->token, NULL, 0);
     }
 }
 
 static void
-take_token (struct session_run *s, const struct rig_request *request)
+update_token (struct session_run *s, const struct rig_request *request)
 {
   if (request->token[0] != '\0')
     memcpy (s->token, request->token, sizeof s->token);
 }
 
-/* A token of work that a failover lost starts the session anew.  */
+/* Resets the session if its token is ahead of the new primary, since the
+   failover lost what the token stands for.  */
 static void
 finish_read (struct run *run, struct session_run *s)
 {
   run->out.reads++;
-  take_token (s, &s->request);
+  update_token (s, &s->request);
   if (s->request.reason == REASON_TOKEN_AHEAD)
     {
       s->token[0] = '\0';
@@ -295,7 +301,7 @@
 finish_write (struct session_run *s)
 {
   const struct rig_request *request = &s->write->request;
-  take_token (s, request);
+  update_token (s, request);
   if (request->reason == REASON_TOKEN_AHEAD)
     s->token[0] = '\0';
   if (request->outcome == OUTCOME_DONE)
@@ -304,7 +310,7 @@
 }
 
 static void
-go_on_in_transaction (struct run *run, struct session_run *s)
+continue_transaction (struct run *run, struct session_run *s)
 {
   char statement[64];
   if (s->request.outcome != OUTCOME_DONE)
@@ -321,23 +327,23 @@
       run->out.transactions++;
       snprintf (statement, sizeof statement, "put %s 1", s->write->key);
       s->state = SESSION_EXECUTE;
-      act (run, s, &s->request, ENTRY_EXECUTE, statement, NULL);
-      /* Until the commit is sent, nothing may be there.  */
+      submit_action (run, s, &s->request, ENTRY_EXECUTE, statement, NULL);
+      /* Without a commit the key must not be in the log.  */
       s->write->request.outcome = OUTCOME_NOT_RUN;
       s->write->request.done = true;
       return;
     }
   s->state = SESSION_COMMIT;
-  act (run, s, &s->write->request, ENTRY_COMMIT, NULL, s->write->id);
+  submit_action (run, s, &s->write->request, ENTRY_COMMIT, NULL, s->write->id);
 }
 
 static void
-drive_session (struct run *run, struct session_run *s)
+step_session (struct run *run, struct session_run *s)
 {
   switch (s->state)
     {
     case SESSION_IDLE:
-      begin_next (run, s);
+      start_request (run, s);
       return;
     case SESSION_READING:
       if (s->request.done)
@@ -346,7 +352,7 @@
     case SESSION_BEGIN:
     case SESSION_EXECUTE:
       if (s->request.done)
-        go_on_in_transaction (run, s);
+        continue_transaction (run, s);
       return;
     case SESSION_WRITING:
     case SESSION_COMMIT:
@@ -356,14 +362,15 @@
     }
 }
 
-/* Asks again for some outcomes, by look-up.  */
+/* Looks up unknown outcomes and a quarter of the others, and compares them
+   with the outcome that was reported first.  */
 static void
-look_up (struct run *run, struct write *write)
+check_lookup (struct run *run, struct write *write)
 {
   if (rng_below (&run->rng, 4) != 0
       && write->request.outcome != OUTCOME_UNKNOWN)
     return;
-  rig_submit_action (run->rig, any_host (run), &write->check, ENTRY_LOOKUP,
+  rig_submit_action (run->rig, random_host (run), &write->check, ENTRY_LOOKUP,
                      NULL, NULL, NULL, write->id, NULL);
   rig_wait (run->rig, &write->check, SETTLE_MS);
   if (write->request.outcome != OUTCOME_UNKNOWN
@@ -391,10 +398,10 @@
 }
 
 static void
-check_end (struct run *run)
+check_final_state (struct run *run)
 {
   for (struct write *w = run->writes; w != NULL; w = w->next)
-    look_up (run, w);
+    check_lookup (run, w);
   for (struct write *w = run->writes; w != NULL; w = w->next)
     check_write (run, w);
   rig_run (run->rig, SETTLE_MS);
@@ -426,23 +433,23 @@
   run->rig = rig_new (&options);
   run->term = 1;
   rng_init (&run->rng, seed ^ 0x5eed);
-  rig_run (run->rig, WARM_MS);
-  run->next_fault_ms = rig_now (run->rig) + WARM_MS;
+  rig_run (run->rig, WARM_UP_MS);
+  run->next_fault_ms = rig_now (run->rig) + WARM_UP_MS;
   clk_ms end_ms = rig_now (run->rig) + span_ms;
   while (rig_now (run->rig) < end_ms)
     {
       rig_run (run->rig, STEP_MS);
-      drive_faults (run);
+      step_faults (run);
       for (size_t i = 0; i < SESSIONS; i++)
-        drive_session (run, &run->sessions[i]);
+        step_session (run, &run->sessions[i]);
     }
   if (run->promote_ms != 0)
     fail_over (run);
-  if (run->heal_ms != 0)
-    heal (run);
+  if (run->fault_end_ms != 0)
+    end_fault (run);
   follow_primary (run);
   rig_run (run->rig, SETTLE_MS);
-  check_end (run);
+  check_final_state (run);
   struct outcomes out = run->out;
   rig_free (run->rig);
   while (run->writes != NULL)
--- a/bench/load_size.c
+++ b/bench/load_size.c
@@ -2,8 +2,8 @@
 
 #include "load_mix.h"
 
-#define LAG_MS 20
-#define COST_MS 5
+#define REPLICATION_LAG_MS 20
+#define STATEMENT_MS 5
 
 const struct size sizes[SIZE_COUNT] = {
   { .name = "Dagohoy",
@@ -30,8 +30,8 @@
                                .slots = size->slots,
                                .connections = size->connections,
                                .connect_ms = size->connect_ms,
-                               .cost_ms = COST_MS,
-                               .lag_ms = LAG_MS,
+                               .cost_ms = STATEMENT_MS,
+                               .lag_ms = REPLICATION_LAG_MS,
                                .policy = policy,
                                .kinds = load_kinds,
                                .log_level = -1 };
--- a/bench/load_size.h
+++ b/bench/load_size.h
@@ -1,4 +1,4 @@
-/* load_size - the sizes of the users' installations, for measurements.  */
+/* load_size - sizes of the users' installations, for simulations.  */
 
 #ifndef SAVORYWAY_BENCH_LOAD_SIZE_H
 #define SAVORYWAY_BENCH_LOAD_SIZE_H
@@ -12,14 +12,15 @@
   const char *name;
   size_t hosts;
   size_t domains;
-  uint32_t slots;
-  uint32_t connections;
+  uint32_t slots;       /* of each instance */
+  uint32_t connections; /* limit of each instance */
   clk_ms connect_ms;
 };
 
 extern const struct size sizes[SIZE_COUNT];
 
-/* Options of a rig of SIZE with one database and the kinds of sim_load.  */
+/* Returns the options of a rig of SIZE with one database and the request kinds
+   of load_mix.  */
 struct rig_options size_options (const struct size *size, enum policy policy,
                                  uint64_t seed);
 
--- a/bench/load_writer.c
+++ b/bench/load_writer.c
@@ -6,25 +6,25 @@
 
 #include "kernel/mem.h"
 
-#define PAUSE_MS 5
-#define PATIENCE_MS 200
+#define STEP_INTERVAL_MS 5
+#define WRITE_TIMEOUT_MS 200
 
 struct load_writer
 {
   struct sim_control *control;
-  size_t via;
+  size_t host;
   struct db_port *port;
   struct db_conn *conn;
   bool open;
-  size_t instance; /* to which conn leads */
+  size_t instance; /* that conn is connected to */
   uint64_t term;
   bool busy;
-  bool written; /* the running write has a position */
+  bool written; /* the current write is in the log, at lsn */
   uint64_t lsn;
-  clk_ms began_ms;
-  size_t next;
+  clk_ms start_ms;
+  size_t next_write;
   size_t acknowledged;
-  bool acked[SIM_WRITES];
+  bool is_acknowledged[LOAD_WRITER_MAX_WRITES];
   clk_ms last_ack_ms;
   clk_ms gap_ms;
   struct ktimer timer;
@@ -52,9 +52,9 @@
   if (gap_ms > writer->gap_ms)
     writer->gap_ms = gap_ms;
   writer->last_ack_ms = now (writer);
-  writer->acked[writer->next] = true;
+  writer->is_acknowledged[writer->next_write] = true;
   writer->acknowledged++;
-  writer->next++;
+  writer->next_write++;
   writer->written = false;
 }
 
@@ -79,7 +79,7 @@
       || !report->primary)
     {
       writer->written = false;
-      writer->next++;
+      writer->next_write++;
       return;
     }
   if (!writer->written)
@@ -99,7 +99,7 @@
   (void)why;
   writer->conn = NULL;
   drop_conn (writer);
-  writer->next++;
+  writer->next_write++;
 }
 
 static const struct db_conn_events events
@@ -108,9 +108,9 @@
 static const struct term_record *
 record (const struct load_writer *writer)
 {
-  if (!writer->control->sim.hosts[writer->via].alive)
+  if (!writer->control->sim.hosts[writer->host].alive)
     return NULL;
-  return terms_get (writer->control->terms[writer->via], "t/s/d");
+  return terms_get (writer->control->terms[writer->host], "t/s/d");
 }
 
 static size_t
@@ -127,7 +127,7 @@
 run_job (struct load_writer *writer)
 {
   char statement[64];
-  snprintf (statement, sizeof statement, "put k%zu v", writer->next);
+  snprintf (statement, sizeof statement, "put k%zu v", writer->next_write);
   const struct db_job job = {
     .kind = writer->written ? DB_STATUS : DB_WRITE,
     .statement = statement,
@@ -135,7 +135,7 @@
   };
   writer->busy = true;
   if (!writer->written)
-    writer->began_ms = now (writer);
+    writer->start_ms = now (writer);
   writer->port->ops->submit (writer->port, writer->conn, &job);
 }
 
@@ -143,15 +143,18 @@
 step (struct load_writer *writer)
 {
   const struct term_record *r = record (writer);
-  if (r == NULL || r->state != TERM_ACTIVE || writer->next >= SIM_WRITES)
+  if (r == NULL || r->state != TERM_ACTIVE
+      || writer->next_write >= LOAD_WRITER_MAX_WRITES)
     return;
   size_t instance = find_instance (r->primary);
-  bool moved = instance != writer->instance || r->term != writer->term;
-  bool stuck = writer->busy && now (writer) - writer->began_ms > PATIENCE_MS;
-  if (writer->conn != NULL && (moved || stuck))
+  bool primary_changed
+      = instance != writer->instance || r->term != writer->term;
+  bool timed_out
+      = writer->busy && now (writer) - writer->start_ms > WRITE_TIMEOUT_MS;
+  if (writer->conn != NULL && (primary_changed || timed_out))
     {
       drop_conn (writer);
-      writer->next++;
+      writer->next_write++;
     }
   if (writer->conn == NULL)
     {
@@ -167,26 +170,26 @@
 }
 
 static void
-fire (void *arg)
+on_timer (void *arg)
 {
   struct load_writer *writer = arg;
   step (writer);
   kernel_timer_set (writer->control->sim.world, &writer->timer,
-                    now (writer) + PAUSE_MS);
+                    now (writer) + STEP_INTERVAL_MS);
 }
 
 struct load_writer *
-load_writer_new (struct sim_control *control, size_t via)
+load_writer_new (struct sim_control *control, size_t host)
 {
   struct load_writer *writer = mem_zalloc (sizeof *writer);
   writer->control = control;
-  writer->via = via;
+  writer->host = host;
   if (control->writer_port == NULL)
     control->writer_port
-        = sim_port_new (control->world, control->domains[via]);
+        = sim_port_new (control->world, control->domains[host]);
   writer->port = control->writer_port;
   writer->last_ack_ms = now (writer);
-  writer->timer.fire = fire;
+  writer->timer.fire = on_timer;
   writer->timer.arg = writer;
   kernel_timer_set (control->sim.world, &writer->timer, now (writer));
   return writer;
@@ -201,9 +204,9 @@
 }
 
 void
-load_writer_via (struct load_writer *writer, size_t via)
+load_writer_set_host (struct load_writer *writer, size_t host)
 {
-  writer->via = via;
+  writer->host = host;
 }
 
 size_t
@@ -232,10 +235,11 @@
 {
   size_t lost = 0;
   char key[32];
-  for (size_t i = 0; i < writer->next; i++)
+  for (size_t i = 0; i < writer->next_write; i++)
     {
       snprintf (key, sizeof key, "k%zu", i);
-      lost += writer->acked[i] && sim_instance_get (instance, key) == NULL;
+      lost += writer->is_acknowledged[i]
+              && sim_instance_get (instance, key) == NULL;
     }
   return lost;
 }
--- a/bench/load_writer.h
+++ b/bench/load_writer.h
@@ -1,33 +1,36 @@
-/* load_writer - writes to a database as a gateway would, one at a time.
+/* load_writer - client that writes to a database, one write at a time.
 
-   Takes the term record that one host knows, writes to its primary, and
-   counts a write as acknowledged once the primary reports that a replica of
-   its term has it.  */
+   Connects, like a gateway, to the primary that the term record of one host
+   names.  A write counts as acknowledged once the primary reports that a
+   replica of its term has received it.  */
 
-#ifndef SAVORYWAY_TESTS_SIM_WRITER_H
-#define SAVORYWAY_TESTS_SIM_WRITER_H
+#ifndef SAVORYWAY_BENCH_LOAD_WRITER_H
+#define SAVORYWAY_BENCH_LOAD_WRITER_H
 
 #include "sim_control.h"
 
-#define SIM_WRITES 20000
+/* The writer stops after this number of writes.  */
+#define LOAD_WRITER_MAX_WRITES 20000
 
 struct load_writer;
 
-/* One writer at a time for each CONTROL.  */
-struct load_writer *load_writer_new (struct sim_control *control, size_t via);
+/* Starts a writer that reads the term record of host HOST.  A CONTROL may have
+   only one writer at a time.  */
+struct load_writer *load_writer_new (struct sim_control *control, size_t host);
 void load_writer_free (struct load_writer *writer);
 
-/* Takes the record from host VIA from now on.  */
-void load_writer_via (struct load_writer *writer, size_t via);
+/* Reads the term record of host HOST from now on.  */
+void load_writer_set_host (struct load_writer *writer, size_t host);
 
+/* Returns the number of acknowledged writes.  */
 size_t load_writer_acknowledged (const struct load_writer *writer);
 
-/* Longest time between two acknowledgements since the last reset, counting
-   the one that still lasts.  */
+/* Returns the longest time between two acknowledgements since the last reset,
+   including the time since the last one.  */
 clk_ms load_writer_gap_ms (const struct load_writer *writer);
 void load_writer_reset_gap (struct load_writer *writer);
 
-/* Returns how many acknowledged writes INSTANCE does not have.  */
+/* Returns the number of acknowledged writes that INSTANCE lacks.  */
 size_t load_writer_lost (const struct load_writer *writer,
                          struct sim_instance *instance);
 
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -222,7 +222,7 @@
       {
         sim_control_kill (&control, i);
         if (i == 4)
-          load_writer_via (writer, 3);
+          load_writer_set_host (writer, 3);
       }
   sim_run (&control.sim, 8000);
   ck_assert_int_eq (platform_record ().state, TERM_ACTIVE);
@@ -243,7 +243,7 @@
   sim_instance_kill (control.instances[0]);
   sim_run (&control.sim, 300 + 7 * _i);
   if (paused == 4)
-    load_writer_via (writer, 3);
+    load_writer_set_host (writer, 3);
   control.sim.hosts[paused].paused = true;
   sim_run (&control.sim, 9000);
   ck_assert_uint_ge (platform_record ().term, 2);
