--- a/src/proxy/caller.c
+++ b/src/proxy/caller.c
@@ -156,8 +156,7 @@
     {
       caller->tx = TX_FAILED;
       caller_run_stop (caller);
-      caller_finish_code (caller, CODE_MALFORMED,
-                          "a transaction is already open");
+      caller_finish_code (caller, CODE_MALFORMED, "in a transaction already");
       return;
     }
   if (route == NULL)
@@ -273,8 +272,7 @@
     case STMT_COMMIT:
       if (caller->tx != TX_OPEN)
         {
-          caller_finish_code (caller, CODE_MALFORMED,
-                              "no transaction is open");
+          caller_finish_code (caller, CODE_MALFORMED, "no transaction");
           return;
         }
       submit_run (caller, statement);
--- a/src/proxy/forwarded_sessions.c
+++ b/src/proxy/forwarded_sessions.c
@@ -68,7 +68,7 @@
 {
   struct forwarded_sessions *sessions = session->owner;
   peer_forwarded unknown = { .code = CODE_INDOUBT,
-                             .reason = "cancelled while running",
+                             .reason = "ended while it ran",
                              .instance = "" };
   if (session->call != 0)
     reply (session, &unknown);
