--- a/bench/bench_config.c
+++ b/bench/bench_config.c
@@ -72,7 +72,7 @@
   char *at = strstr (answer.body, "\"revision\":");
   standin_require (answer.status == 200 && at != NULL, answer.body);
   uint64_t revision = strtoull (at + strlen ("\"revision\":"), NULL, 10);
-  http_client_clear (&answer);
+  http_client_response_clear (&answer);
   free (body);
   return revision;
 }
--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -221,7 +221,7 @@
   else
     *answer = json_loadb (response.body, response.body_bytes, 0, NULL);
   int status = response.status;
-  http_client_clear (&response);
+  http_client_response_clear (&response);
   if (secret != NULL)
     sodium_memzero (secret, strlen (secret));
   free (secret);
--- a/src/cli/cmd_query.c
+++ b/src/cli/cmd_query.c
@@ -230,7 +230,7 @@
       fprintf (stderr, "savoryway: %s\n", response.error);
       status = EXIT_UNREACHABLE;
     }
-  http_client_clear (&response);
+  http_client_response_clear (&response);
   free (secret);
   free (session);
   free (body);
--- a/src/cli/command.c
+++ b/src/cli/command.c
@@ -47,7 +47,7 @@
       report_refusal (&response, *answer);
       status = EXIT_FAILED;
     }
-  http_client_clear (&response);
+  http_client_response_clear (&response);
   free (text);
   return status;
 }
--- a/src/cli/http_client.c
+++ b/src/cli/http_client.c
@@ -165,7 +165,7 @@
 }
 
 void
-http_client_clear (struct http_client_response *response)
+http_client_response_clear (struct http_client_response *response)
 {
   free (response->body);
   free (response->session);
--- a/src/cli/http_client.h
+++ b/src/cli/http_client.h
@@ -47,13 +47,13 @@
 };
 
 /* Sends REQUEST and waits for the response.  Returns 0 if one was received,
-   whatever its HTTP status, else -1.  Call http_client_clear on RESPONSE in
-   either case.  */
+   whatever its HTTP status, else -1.  Call http_client_response_clear on
+   RESPONSE in either case.  */
 int http_client_call (const struct http_client_request *request,
                       struct http_client_response *response);
 
 /* Frees the strings of RESPONSE.  */
-void http_client_clear (struct http_client_response *response);
+void http_client_response_clear (struct http_client_response *response);
 
 /* Returns the value of an Authorization header with Basic credentials; the
    caller frees it.  PASSWORD may be NULL.  */
--- a/src/port/consul.c
+++ b/src/port/consul.c
@@ -289,7 +289,7 @@
   conn->call = call;
   conn->sent = false;
   uint64_t id = call->id;
-  enum evhttp_cmd_type type = methods[call->request.verb];
+  enum evhttp_cmd_type type = methods[call->request.method];
   if (evhttp_make_request (conn->http, http, type, call->request.uri) == 0)
     {
       address_set_keepalive (
--- a/src/port/consul_request.c
+++ b/src/port/consul_request.c
@@ -122,9 +122,9 @@
 consul_request_build (struct kv_request *request,
                       const struct platform_call *call)
 {
-  *request
-      = (struct kv_request){ .verb = kv_call_is_write (call->kind) ? KV_PUT
-                                                                   : KV_GET };
+  *request = (struct kv_request){ .method = kv_call_is_write (call->kind)
+                                                ? KV_PUT
+                                                : KV_GET };
   switch (call->kind)
     {
     case PLATFORM_GET:
--- a/src/port/kv_codec.h
+++ b/src/port/kv_codec.h
@@ -20,7 +20,7 @@
 /* Owns its strings.  */
 struct kv_request
 {
-  enum kv_method verb;
+  enum kv_method method;
   char *uri;
   char *body; /* NULL if none; JSON */
 };
--- a/src/proxy/backend.c
+++ b/src/proxy/backend.c
@@ -242,13 +242,13 @@
   if (step != STEP_BEGIN)
     return;
   backend->probe_conn = NULL;
-  clk_ms asked_ms = backend->probe_ms;
-  bool proven = answer->code == CODE_OK && answer->has_position;
+  clk_ms sent_ms = backend->probe_ms;
+  bool confirmed = answer->code == CODE_OK && answer->has_position;
   struct position position = answer->position;
   conn_release (conn);
-  if (proven)
-    backend->options.proven (backend->options.arg, backend, position,
-                             asked_ms);
+  if (confirmed)
+    backend->options.leader_confirmed (backend->options.arg, backend, position,
+                                       sent_ms);
 }
 
 static void
@@ -274,12 +274,12 @@
       || backend_now (backend) - backend->probe_ms < BACKEND_PROBE_TIMEOUT_MS)
     return;
   struct backend_conn *conn = backend->probe_conn;
-  clk_ms asked_ms = backend->probe_ms;
+  clk_ms sent_ms = backend->probe_ms;
   conn_close (conn);
-  if (backend->last_answer_ms > asked_ms)
+  if (backend->last_answer_ms > sent_ms)
     return; /* only this connection has failed */
   if (backend->probe_unanswered_ms == CLK_NEVER)
-    backend->probe_unanswered_ms = asked_ms;
+    backend->probe_unanswered_ms = sent_ms;
   if (!was_usable)
     return;
   log_event (
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -106,12 +106,12 @@
   const struct instance_entry *entry;
   /* The instance has become usable or unusable.  */
   void (*changed) (void *arg, struct backend *backend);
-  /* The instance accepted a BEGIN sent at ASKED_MS, so it is the primary.
+  /* The instance accepted a BEGIN sent at SENT_MS, so it is the primary.
      Its log has reached POSITION.  */
-  void (*proven) (void *arg, struct backend *backend, struct position position,
-                  clk_ms asked_ms);
+  void (*leader_confirmed) (void *arg, struct backend *backend,
+                            struct position position, clk_ms sent_ms);
   /* The instance refused a BEGIN, as it is not the primary.  */
-  void (*refuted) (void *arg, struct backend *backend);
+  void (*leader_rejected) (void *arg, struct backend *backend);
   void *arg;
 };
 
--- a/src/proxy/backend_conn.c
+++ b/src/proxy/backend_conn.c
@@ -129,7 +129,7 @@
     backend->position = answer->position;
   backend_note_answer (backend);
   if (pending.step == STEP_BEGIN && answer->code == CODE_READONLY)
-    backend->options.refuted (backend->options.arg, backend);
+    backend->options.leader_rejected (backend->options.arg, backend);
   if (pending.step == STEP_SETUP && answer->code != CODE_OK)
     {
       /* Its values are unknown: the set-up for the next user starts with
--- a/src/proxy/group.c
+++ b/src/proxy/group.c
@@ -74,15 +74,15 @@
 }
 
 static void
-on_proven (void *arg, struct backend *backend, struct position position,
-           clk_ms sent_ms)
+on_leader_confirmed (void *arg, struct backend *backend,
+                     struct position position, clk_ms sent_ms)
 {
   struct member_instance *instance = arg;
   group_confirm_leader (instance->group, backend, position, sent_ms);
 }
 
 static void
-on_refuted (void *arg, struct backend *backend)
+on_leader_rejected (void *arg, struct backend *backend)
 {
   struct member_instance *instance = arg;
   group_reject_leader (instance->group, backend);
@@ -139,8 +139,8 @@
                                      .port = group->groups->options.port,
                                      .entry = entry,
                                      .changed = on_changed,
-                                     .proven = on_proven,
-                                     .refuted = on_refuted };
+                                     .leader_confirmed = on_leader_confirmed,
+                                     .leader_rejected = on_leader_rejected };
   if (group->count == GROUP_INSTANCES)
     {
       log_event (kernel_log (options.kernel), LOG_WARNING, "instance_ignored",
--- a/src/proxy/group_impl.h
+++ b/src/proxy/group_impl.h
@@ -67,7 +67,7 @@
 /* Notifies all subscribers of a change.  */
 void group_notify (struct group *group);
 
-/* group_proof.c: discards what is known about the log of BACKEND.  */
+/* group_confirm.c: discards what is known about the log of BACKEND.  */
 void group_forget_log (struct group *group, const struct backend *backend);
 
 /* group_domains.c: updates whether this host is cut off.  */
--- a/tests/standin/standin_host.h
+++ b/tests/standin/standin_host.h
@@ -131,7 +131,7 @@
   int status = answer.status;
   if (text != NULL)
     *text = mem_strdup (answer.body);
-  http_client_clear (&answer);
+  http_client_response_clear (&answer);
   return status;
 }
 
--- a/tests/unit/test_terms.c
+++ b/tests/unit/test_terms.c
@@ -65,8 +65,8 @@
 }
 
 static void
-check_switch_over (void *arg, const char *database, uint64_t index,
-                   const struct term_record *record)
+check_ascending_order (void *arg, const char *database, uint64_t index,
+                       const struct term_record *record)
 {
   (void)database;
   (void)record;
@@ -83,12 +83,12 @@
   set ("t/s/c", 20, 1);
   set ("t/s/a", 25, 2);
   last_index = 0;
-  terms_each (terms, check_switch_over, &count);
+  terms_each (terms, check_ascending_order, &count);
   ck_assert_uint_eq (count, 3);
   last_index = 20;
-  terms_each_since (terms, 20, check_switch_over, &count);
+  terms_each_since (terms, 20, check_ascending_order, &count);
   ck_assert_uint_eq (count, 5);
-  terms_each_since (terms, 30, check_switch_over, &count);
+  terms_each_since (terms, 30, check_ascending_order, &count);
   ck_assert_uint_eq (count, 5);
 }
 
--- a/tests/unit/unit.h
+++ b/tests/unit/unit.h
@@ -3,9 +3,9 @@
    The definition of a test also registers it, so that no test can be left out
    of its suite by mistake:
 
-     UNIT_TEST (name) { ... }            is_running once, with the fixture
-     UNIT_LOOP (name, low, high) { ... } is_running with _i from LOW to HIGH -
-   1 UNIT_PLAIN (name) { ... }           is_running once, without the fixture
+     UNIT_TEST (name) { ... }            runs once, with the fixture
+     UNIT_LOOP (name, low, high) { ... } runs with _i from LOW to HIGH - 1
+     UNIT_PLAIN (name) { ... }           runs once, without the fixture
      UNIT_PLAIN_LOOP (name, low, high) { ... }
 
    The fixture are the functions setup and teardown of struct unit_options,
