--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -36,7 +36,7 @@
   SETTING_HASH,     /* as secret_hash in the configuration */
   SETTING_NUMBER,   /* integer */
   SETTING_DECIMAL,  /* decimal fraction, truncated to an integer */
-  SETTING_CHOICE,   /* a word of choices, stored as its index */
+  SETTING_CHOICE,   /* one of choices, stored as its index */
   SETTING_SEEDS,    /* NAME=ADDRESS:PORT,... */
   SETTING_KEY       /* 64 hexadecimal digits; has no flag */
 };
--- a/src/core/cost.c
+++ b/src/core/cost.c
@@ -101,7 +101,7 @@
 {
   int64_t elapsed_us = elapsed_ms * US_PER_MS;
   int64_t divisor = SAMPLE_DIVISOR;
-  /* A single stalled execution says little about the kind.  */
+  /* A single stalled execution is not representative of the kind.  */
   if (elapsed_us > OUTLIER_RATIO * kind->mean_us + MIN_COST_US)
     elapsed_us = OUTLIER_RATIO * kind->mean_us + MIN_COST_US;
   if (kind->samples < PLAIN_MEAN_SAMPLES)
--- a/src/core/gateway_impl.h
+++ b/src/core/gateway_impl.h
@@ -159,7 +159,7 @@
   clk_ms polled_ms;
   clk_ms purged_ms;
   clk_ms window_start_ms;       /* start of the overload window */
-  clk_ms min_wait_ms;           /* least queueing time in this window */
+  clk_ms min_wait_ms;           /* shortest queueing time in this window */
   uint32_t short_arrivals;      /* short requests in this window */
   uint32_t overload_refusals;   /* of these, refused as overload */
   uint32_t low_refusal_windows; /* consecutive, with few refusals */
--- a/src/core/monitor.h
+++ b/src/core/monitor.h
@@ -148,7 +148,7 @@
    due; in monitor_confirm.c.  */
 void monitor_query_hosts (struct monitor *monitor);
 
-/* Cancels the queries and forgets all answers.  */
+/* Cancels the queries and discards all answers.  */
 void monitor_clear_consulted (struct monitor *monitor);
 
 /* Returns whether the queried host in the primary's failure domain did not
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -11,7 +11,7 @@
 #define KIND_COUNT (PEER_KIND_CENSUS + 1)
 
 /* Set in the ids of this module's own calls and never in ids of the port, so
-   that peers_reply can tell a local call from a received one.  */
+   that peers_reply can distinguish a local call from a received one.  */
 #define LOCAL_BIT (1ULL << 63)
 
 struct handler
--- a/src/core/promotion_jobs.c
+++ b/src/core/promotion_jobs.c
@@ -3,7 +3,7 @@
 #include "core/monitor.h"
 #include "kernel/mutant.h"
 
-/* Time limits of the phases.  After the first two the attempt goes on with
+/* Time limits of the phases.  After the first two the attempt continues with
    SEAL, which also fences the old primary.  After the last it restarts in a
    higher term.  */
 #define FENCE_LIMIT_MS 1500
--- a/src/core/sync_head.h
+++ b/src/core/sync_head.h
@@ -13,8 +13,8 @@
 #define SYNC_HEAD_KEY "savoryway/head"
 #define SYNC_CONFIG_PREFIX "savoryway/config/"
 
-/* Most teams that are read individually; if more have changed, the whole
-   configuration is read in one call.  */
+/* Maximum number of teams that are read individually; if more have changed,
+   the whole configuration is read in one call.  */
 #define SYNC_HEAD_TEAMS_MAX 8
 
 struct sync_head
--- a/src/core/sync_hosts.c
+++ b/src/core/sync_hosts.c
@@ -6,7 +6,7 @@
 
 #include "kernel/mem.h"
 
-/* Most removed hosts that are kept.  */
+/* Maximum number of removed hosts kept.  */
 #define REMOVED_MAX 2048
 
 static void
--- a/src/core/sync_pull.c
+++ b/src/core/sync_pull.c
@@ -20,7 +20,7 @@
 #define FALLBACK_SPAN_MS 500
 
 /* While the view is older than STALE_MS, another parent, whose view may be
-   younger, is tried every STALE_RETRY_MS.  */
+   more recent, is tried every STALE_RETRY_MS.  */
 #define STALE_MS 4000
 #define STALE_RETRY_MS 3000
 
--- a/src/core/sync_serve.c
+++ b/src/core/sync_serve.c
@@ -6,7 +6,7 @@
 
 #include "kernel/mem.h"
 
-/* Most hosts served; pulls of further ones are refused.  */
+/* Maximum number of hosts served; pulls of further ones are refused.  */
 #define CHILDREN_MAX 4096
 
 /* Longest time for which a pull is held, whatever wait it requests.  */
--- a/src/core/sync_state.h
+++ b/src/core/sync_state.h
@@ -12,7 +12,7 @@
 #include "core/terms.h"
 #include "port/peer.h"
 
-/* Most leaving marks that are kept; the oldest is overwritten.  */
+/* Maximum number of leaving marks kept; the oldest is overwritten.  */
 #define SYNC_MARKS_MAX 256
 
 /* A leaving mark: a host has announced that it is leaving.  It reaches other
--- a/src/port/consul_response.c
+++ b/src/port/consul_response.c
@@ -63,7 +63,7 @@
 }
 
 /* A registration without an incarnation uses its creation index instead, which
-   tells it apart from an earlier registration of the same host.  */
+   distinguishes it from an earlier registration of the same host.  */
 static bool
 parse_host (struct platform_host *host, json_t *entry)
 {
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -27,7 +27,7 @@
 #define BACKEND_MIN_CONNECTIONS 1
 
 /* Maximum number of connections that are opened at the same time.  Opening
-   one takes a slot of the instance for a while.  */
+   one occupies a slot of the instance temporarily.  */
 #define BACKEND_OPENING_LIMIT 1
 
 /* Connections of an instance that the shares of the hosts leave free.  An
--- a/src/proxy/caller.c
+++ b/src/proxy/caller.c
@@ -340,7 +340,7 @@
 }
 
 /* Logs a statement that is cancelled by the close of its session: the caller
-   has disconnected, or the host that forwarded it has given it up.  */
+   has disconnected, or the host that forwarded it has abandoned it.  */
 static void
 log_abandoned (const struct caller *caller)
 {
--- a/src/proxy/caller_impl.h
+++ b/src/proxy/caller_impl.h
@@ -124,7 +124,7 @@
 void caller_drop_conn (struct caller *caller);
 void caller_set_timer (struct caller *caller, struct ktimer *timer,
                        clk_ms span_ms);
-/* Returns the code for a statement that is given up before it ran.  */
+/* Returns the code for a statement that is abandoned before it ran.  */
 enum code caller_refusal (const struct caller *caller);
 /* Retries the statement after SPAN_MS.  */
 void caller_wait (struct caller *caller, clk_ms span_ms);
--- a/src/proxy/caller_metrics.h
+++ b/src/proxy/caller_metrics.h
@@ -29,7 +29,7 @@
 void caller_metrics_answer (struct caller_metrics *self, enum route_kind kind,
                             enum code code, clk_ms spent_ms);
 
-/* Counts a statement that this host gave up, with WHY as label.  */
+/* Counts a statement that this host abandoned, with WHY as label.  */
 void caller_metrics_refused (struct caller_metrics *self, const char *why);
 
 #endif
--- a/src/proxy/hosts.h
+++ b/src/proxy/hosts.h
@@ -11,7 +11,7 @@
 #include "kernel/kernel.h"
 #include "port/peer_port.h"
 
-/* Largest number of registered handlers.  */
+/* Maximum number of registered handlers.  */
 #define HOSTS_HANDLERS 8
 
 struct other_host
--- a/src/proxy/relay.h
+++ b/src/proxy/relay.h
@@ -32,8 +32,8 @@
 /* How long a relay that failed is not used.  */
 #define RELAY_FAILED_MS 4000
 
-/* Most removed keys that a relay keeps.  With more it drops them all, and a
-   host that missed one receives the whole contents.  */
+/* Maximum number of removed keys that a relay keeps.  With more it drops them
+   all, and a host that missed one receives the whole contents.  */
 #define RELAY_MAX_REMOVED 512
 
 struct relay;
--- a/src/proxy/roster.h
+++ b/src/proxy/roster.h
@@ -42,7 +42,7 @@
 
 #define ROSTER_CALL_TIMEOUT_MS 700
 
-/* Least time between two writes of the same report.  */
+/* Minimum time between two writes of the same report.  */
 #define ROSTER_REPORT_INTERVAL_MS 400
 
 #define ROSTER_SECRET_BYTES 32
@@ -62,7 +62,7 @@
 /* Jitter after a full listing, since all hosts may have started together.  */
 #define ROSTER_START_JITTER_MS 2500
 
-/* How long a host that gave up the duty does not try to acquire it.  */
+/* How long a host that released the duty does not try to acquire it.  */
 #define ROSTER_RESIGN_BACKOFF_MS 4000
 
 struct roster_options
@@ -95,7 +95,7 @@
 void roster_verify_duty (struct roster *roster, roster_verify_done done,
                          void *arg);
 
-/* Gives up the duty, if this host holds it; WHY is logged.  */
+/* Releases the duty, if this host holds it; WHY is logged.  */
 void roster_resign_duty (struct roster *roster, const char *why);
 
 /* Reports that this host can't reach INSTANCE, the primary of GROUP; NULL
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -27,7 +27,7 @@
 #include "proxy/roster.h"
 #include "proxy/suspicions.h"
 
-/* Most hosts of a fleet: enough for relays in each failure domain.  */
+/* Maximum number of hosts; enough for relays in each failure domain.  */
 #define FLEET_HOSTS 42
 #define FLEET_DEFAULT_HOSTS 6
 #define FLEET_INSTANCES 3
@@ -43,7 +43,7 @@
 #define FLEET_STALENESS_MS 1500
 /* Time from the platform's acceptance of a promotion to the new primary.  */
 #define FLEET_PROMOTE_MS 300
-/* Most acknowledged commits that the oracle records.  */
+/* Maximum number of acknowledged commits that the oracle records.  */
 #define FLEET_MAX_ACKS 65536
 
 struct fleet;
--- a/tests/fleet/fleet_instance.c
+++ b/tests/fleet/fleet_instance.c
@@ -19,11 +19,11 @@
 /* Time until an instance notices that an unreachable host has closed a
    connection.  */
 #define DEAD_PEER_TIMEOUT_MS 3000
-/* Most unanswered statements of a connection.  */
+/* Maximum number of unanswered statements of a connection.  */
 #define QUEUE 256
 #define TEXT_BYTES 256
 #define VALUES_BYTES 512
-/* Most prepared statements of a connection.  */
+/* Maximum number of prepared statements of a connection.  */
 #define STATEMENTS 128
 #define BODY_BYTES 1024
 
--- a/tests/fleet/fleet_oracle.c
+++ b/tests/fleet/fleet_oracle.c
@@ -14,7 +14,7 @@
 
 #define TEXT_BYTES 256
 #define VALUES_BYTES 512
-/* Most writes of a transaction that are recorded.  */
+/* Maximum number of writes of a transaction that are recorded.  */
 #define TX_STATEMENTS 64
 
 /* A statement that a caller sent.  */
--- a/tests/fleet/fleet_store.c
+++ b/tests/fleet/fleet_store.c
@@ -15,7 +15,7 @@
 #define CALL_MS 4
 #define KEY_BYTES 200
 #define VALUE_BYTES 160
-/* Events kept for watches; also the most keys of a list.  */
+/* Events kept for watches; also the maximum number of keys of a list.  */
 #define HISTORY 4096
 /* Interval of checks of a watch; a broken connection is detected after at most
    this time.  */
--- a/tests/fuzz/sim_db_net.c
+++ b/tests/fuzz/sim_db_net.c
@@ -258,7 +258,7 @@
     abort (); /* one job at a time */
   conn->busy = true;
   if (conn->inner == NULL)
-    return; /* closed already; the host gets the notice soon */
+    return; /* closed already; the host is notified later */
   if (db_net->cut[conn->host][conn->instance])
     schedule_break (conn);
   else
--- a/tests/fuzz/sim_oracle.h
+++ b/tests/fuzz/sim_oracle.h
@@ -57,8 +57,7 @@
   bool may_be_lost;  /* the session was reset, see oracle_session_reset */
   bool primary_rule; /* acknowledged by the primary alone; may be lost */
   enum write_state state;
-  bool seen; /* its own session has read it */
-  bool told_once;
+  bool seen;      /* its own session has read it */
   clk_ms done_ms; /* time of the acknowledgement; 0 before */
 };
 
--- a/tests/fuzz/sim_steps.c
+++ b/tests/fuzz/sim_steps.c
@@ -249,7 +249,7 @@
 }
 
 /* Cuts off the primary's failure domain, then sends requests to both sides.
-   The hosts in the domain go on running and must not serve outdated data.  */
+   The hosts in the domain keep running and must not serve outdated data.  */
 static void
 lose_domain (struct run *run, clk_ms wait_ms)
 {
--- a/tests/unit/test_failover.c
+++ b/tests/unit/test_failover.c
@@ -268,7 +268,7 @@
   struct sim_instance *chosen = primary ();
   sim_instance_kill (chosen);
   sim_run (&control.sim, 10000);
-  /* One instance of host_domains is left, so no promotion is safe.  */
+  /* One instance of three is left, so no promotion is safe.  */
   ck_assert_uint_ge (platform_record ().term, 3);
   ck_assert_int_eq (platform_record ().state, TERM_SEALING);
   sim_instance_restart (chosen);
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -281,7 +281,7 @@
 /* Seeds that failed, with the cause.  */
 static const uint64_t regressions[] = {
   612, /* the oracle treated a refused SET as acknowledged */
-  947, /* an unanswered watch hid from a host that it held the duty */
+  947, /* a host did not know that it held the duty: unanswered watch */
   219, /* no primary after a planned promotion without a reachable candidate */
 };
 
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -132,7 +132,7 @@
   ck_assert (!members_changes_since (members, generation, changed, &count));
 }
 
-UNIT_TEST (test_a_host_that_fails_is_suspected_for_a_while)
+UNIT_TEST (test_a_host_that_fails_is_suspected_temporarily)
 {
   char name[NAME_BYTES];
   memcpy (name, first_for ("k")->address.name, NAME_BYTES);
--- a/tests/unit/unit.h
+++ b/tests/unit/unit.h
@@ -8,10 +8,12 @@
      UNIT_PLAIN (name) { ... }           runs once, without the fixture
      UNIT_PLAIN_LOOP (name, low, high) { ... }
 
-   The fixture are the functions setup and teardown of struct unit_options,
-   called before and after each test.  UNIT_MAIN ("name", .setup = ..., ...) at
-   the end of the file defines main and takes members of struct unit_options.
-   The exit status is 0 if all tests passed.  */
+   The fixture consists of the functions setup and teardown of struct
+   unit_options, called before and after each test.
+
+   UNIT_MAIN ("name", .setup = ..., ...) at the end of the file defines main
+   and takes members of struct unit_options.  The exit status is 0 if all tests
+   passed.  */
 
 #ifndef SAVORYWAY_UNIT_UNIT_H
 #define SAVORYWAY_UNIT_UNIT_H
