--- a/bench/bench_config.c
+++ b/bench/bench_config.c
@@ -74,7 +74,7 @@
   char *found = strstr (answer.body, "\"revision\":");
   standin_require (answer.status == 200 && found != NULL, answer.body);
   uint64_t revision = strtoull (found + strlen ("\"revision\":"), NULL, 10);
-  http_client_clear (&answer);
+  http_client_response_clear (&answer);
   free (body);
   return revision;
 }
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -27,7 +27,7 @@
 #define BACKEND_MIN_CONNECTIONS 1
 
 /* Maximum number of connections that are opened at the same time.  Opening
-   one takes a slot of the instance for a while.  */
+   one occupies a slot of the instance temporarily.  */
 #define BACKEND_OPENING_LIMIT 1
 
 /* Connections of an instance that the shares of the hosts leave free.  An
@@ -106,12 +106,12 @@
   const struct instance_entry *entry;
   /* The instance has become usable or unusable.  */
   void (*changed) (void *arg, struct backend *backend);
-  /* The instance accepted a BEGIN sent at ASKED_MS, so it is the primary.
+  /* The instance accepted a BEGIN sent at SENT_MS, so it is the primary.
      Its log has reached POSITION.  */
-  void (*proven) (void *arg, struct backend *backend, struct position position,
-                  clk_ms asked_ms);
+  void (*leader_confirmed) (void *arg, struct backend *backend,
+                            struct position position, clk_ms sent_ms);
   /* The instance refused a BEGIN, as it is not the primary.  */
-  void (*refuted) (void *arg, struct backend *backend);
+  void (*leader_rejected) (void *arg, struct backend *backend);
   void *arg;
 };
 
