--- a/src/proxy/admission.c
+++ b/src/proxy/admission.c
@@ -3,8 +3,9 @@
 /* Weight of the newest span in the moving average of the rate.  */
 #define SPAN_WEIGHT 0.4
 
-/* Ends the span if it is over, and updates the rate.  Spans in which nothing
-   waited are left out, since they don't show the possible rate.  */
+/* Ends the span if it is over, and updates the rate.  A span counts only if
+   statements waited both at its beginning and at its end: what completes
+   while nothing waits doesn't show the possible rate.  */
 static void
 end_span (struct admission *admission, clk_ms now_ms)
 {
--- a/src/proxy/admission.h
+++ b/src/proxy/admission.h
@@ -3,8 +3,8 @@
    Counts the statements of this host that wait for slots of a group, and
    measures the rate at which statements complete while some wait.  The number
    of those that wait divided by that rate is the expected waiting time.  A
-   statement that would exceed its time limit is refused at once, so that the
-   others are served in time.  Without this bound a burst makes every
+   statement that would miss its target duration is refused at once, so that
+   the others are served in time.  Without this bound a burst makes every
    statement late, even long after the burst.  */
 
 #ifndef SAVORYWAY_PROXY_ADMISSION_H
--- a/src/proxy/backend.c
+++ b/src/proxy/backend.c
@@ -85,7 +85,8 @@
   backend->options.changed (backend->options.arg, backend);
 }
 
-/* Opens connections for waiting users, up to the share of this host.  */
+/* Opens connections for waiting users, or one if there are fewer than
+   BACKEND_MIN_CONNECTIONS, within the share of this host.  */
 static void
 open_needed (struct backend *backend)
 {
@@ -277,7 +278,7 @@
   clk_ms sent_ms = backend->probe_ms;
   conn_close (conn);
   if (backend->last_answer_ms > sent_ms)
-    return; /* only this connection has failed */
+    return; /* the instance answers on other connections */
   if (backend->probe_unanswered_ms == CLK_NEVER)
     backend->probe_unanswered_ms = sent_ms;
   if (!was_usable)
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -54,7 +54,8 @@
 #define BACKEND_ROLLBACK_TIMEOUT_MS 400
 #define BACKEND_LATE_ANSWER_TIMEOUT_MS 3000
 
-/* An instance is probed when a statement has no answer after this time.  */
+/* An instance is probed when a statement was sent this long ago and nothing
+   has been answered since.  */
 #define BACKEND_ANSWER_TIMEOUT_MS 250
 
 /* Timeout of a probe, which takes no slot and thus doesn't wait for one.  */
@@ -106,7 +107,7 @@
   const struct instance_entry *entry;
   /* The instance has become usable or unusable.  */
   void (*changed) (void *arg, struct backend *backend);
-  /* The instance accepted a BEGIN sent at SENT_MS, so it is the primary.
+  /* The instance accepted a plain BEGIN sent at SENT_MS, so it is the primary.
      Its log has reached POSITION.  */
   void (*leader_confirmed) (void *arg, struct backend *backend,
                             struct position position, clk_ms sent_ms);
@@ -141,17 +142,19 @@
                                       struct conn_user *user);
 void backend_cancel (struct conn_user *user);
 
-/* Starts a probe: a BEGIN, which only the primary accepts, and a ROLLBACK.
-   It takes no slot of the instance.  Does nothing while an earlier probe is in
+/* Starts a probe: a plain BEGIN, which only the primary accepts, and a
+   ROLLBACK.  The answer also reports the position of the instance's log.  It
+   takes no slot of the instance.  Does nothing while an earlier probe is in
    flight.  */
 void backend_probe (struct backend *backend);
 
-/* Probes the instance if it is unusable, or has not answered a statement for
-   BACKEND_ANSWER_TIMEOUT_MS.  */
+/* Probes the instance if it is unusable, or if it has answered nothing since a
+   statement was sent BACKEND_ANSWER_TIMEOUT_MS ago or earlier.  */
 void backend_check (struct backend *backend);
 
-/* Returns false if the last attempt to connect failed, or a probe was not
-   answered in time, and the instance has not answered since.  */
+/* Returns false if a connection could not be opened or was closed by the
+   instance with an error, or if a probe was not answered in time, and the
+   instance has not answered since.  */
 bool backend_usable (const struct backend *backend);
 
 /* Time of the last answer of the instance.  */
--- a/src/proxy/backend_impl.h
+++ b/src/proxy/backend_impl.h
@@ -5,8 +5,9 @@
 
 #include "proxy/backend.h"
 
-/* Maximum number of statements in flight on a connection.  Only set-up
-   statements are pipelined, and these are bounded by VALUES_LIMIT.  */
+/* Maximum number of statements in flight on a connection.  Most of them are
+   set-up statements, which VALUES_LIMIT bounds; apart from these only BEGIN
+   and the ROLLBACK after a read on the primary are pipelined.  */
 #define PENDING_LIMIT 160
 
 enum conn_phase
@@ -55,7 +56,7 @@
   uint32_t waiting;
   struct position position;
   clk_ms last_answer_ms;
-  clk_ms connect_failed_since_ms; /* CLK_NEVER: usable */
+  clk_ms connect_failed_since_ms; /* CLK_NEVER: not failed */
   clk_ms probe_unanswered_ms;     /* likewise */
   uint32_t failures;              /* consecutive failures to connect */
   clk_ms retry_ms;                /* no attempt to connect before */
@@ -75,8 +76,8 @@
 uint32_t backend_idle_target (const struct backend *backend);
 /* Schedules the maintenance of the connections for DUE_MS or earlier.  */
 void backend_arm_tick (struct backend *backend, clk_ms due_ms);
-/* Records that the instance answered, or that a connection was refused or
-   timed out.  */
+/* Record that the instance answered, or that a connection could not be opened
+   or was closed by the instance with an error.  */
 void backend_note_answer (struct backend *backend);
 void backend_note_connect_failure (struct backend *backend);
 /* Assigns idle connections to waiting users.  */
--- a/src/proxy/caller.h
+++ b/src/proxy/caller.h
@@ -11,8 +11,9 @@
 
    Each statement gets exactly one answer.  An error code that promises that
    nothing was committed (such as CODE_BUSY and CODE_ABORTED) is returned only
-   if no write and no COMMIT was sent, or if the instance reported that the
-   statement did not run.
+   if neither a write outside of a transaction nor the COMMIT of a transaction
+   with writes was sent, or if the instance reported that the statement did not
+   run.
 
    Module name: "callers".  */
 
@@ -22,15 +23,16 @@
 #include "kernel/kernel.h"
 #include "proxy/group.h"
 
-/* Maximum number of instances that one read is tried on.  */
+/* Maximum number of instances that a read leaves out because it was tried on
+   them.  The limits on attempts are multiples of it.  */
 #define CALLER_TRIED_LIMIT 6
 
 /* Backoff after a refusal because the instance had no free slot.  Retries on
    the same instance multiply it by the number of attempts.  */
 #define CALLER_BUSY_BACKOFF_MS 12
 
-/* Maximum time that a statement waits for a primary, or for a sample that
-   covers its position.  A promotion in progress completes within it.  */
+/* Maximum time that a statement waits for a primary, or for a sample that is
+   recent enough for it.  A promotion in progress completes within it.  */
 #define CALLER_GROUP_WAIT_MS 900
 
 /* Retry interval while the primary has not applied its log yet.  */
--- a/src/proxy/caller_impl.h
+++ b/src/proxy/caller_impl.h
@@ -32,7 +32,7 @@
   clk_ms arrived_ms;
   clk_ms sent_ms;
   clk_ms begin_sent_ms;
-  clk_ms group_wait_since_ms; /* first wait for the group; CLK_NEVER */
+  clk_ms group_wait_since_ms; /* CLK_NEVER: no wait yet */
   uint32_t attempts;
   char instance[NAME_BYTES]; /* of the last attempt; logged */
   enum code refusal;         /* code of the last attempt */
--- a/src/proxy/caller_remote.c
+++ b/src/proxy/caller_remote.c
@@ -24,7 +24,8 @@
 /* Timeout of the request that ends a transaction at another host.  */
 #define REMOTE_ROLLBACK_TIMEOUT_MS 1000
 
-/* Maximum number of hosts that one statement is forwarded to.  */
+/* Number of hosts that one statement is forwarded to before it fails, or waits
+   for REMOTE_RETRY_MS and starts again.  */
 #define REMOTE_TRIED_LIMIT 3
 
 /* Returns the id of the group's primary if the statement needs it and this
--- a/src/proxy/caller_run.c
+++ b/src/proxy/caller_run.c
@@ -1,5 +1,6 @@
 /* Execution of one statement on an instance of its group.  A statement that
-   did not run, or that is repeatable, is tried on another instance.  */
+   did not run, or that is repeatable, is tried again, on another instance if
+   it does not need the primary.  */
 
 #include "proxy/caller_impl.h"
 
@@ -131,9 +132,9 @@
   return true;
 }
 
-/* Raises the position after all instances refused it as not applied.
-   A promotion may have discarded it; then a sample of the new term replaces
-   it.  */
+/* Prepares another round of attempts after no instance could serve the read.
+   A promotion may have rolled back the required position; then the newest
+   sample, which is of a newer term, replaces it.  */
 static void
 raise_min_position (struct caller *caller, struct group *group)
 {
--- a/src/proxy/caller_wait.c
+++ b/src/proxy/caller_wait.c
@@ -26,8 +26,8 @@
   bool commit = caller->run.kind == STMT_COMMIT;
   caller_metrics_refused (caller_metrics_of (caller), why);
   backend_cancel (&caller->user);
-  /* The transaction is ended on its instance before the caller gets the
-     answer.  */
+  /* The end of the transaction on its instance is started before the caller
+     gets the answer.  */
   caller_remote_stop (caller);
   caller_drop_conn (caller);
   if (caller_in_transaction (caller))
--- a/src/proxy/group.h
+++ b/src/proxy/group.h
@@ -1,9 +1,10 @@
 /* group - replica groups: finds the primary and chooses instances for reads.
 
    A group consists of one primary and its replicas.  An instance is confirmed
-   as the primary at the time at which it accepts a plain BEGIN or a write;
-   its log position then includes all commits acknowledged before.  The role
-   in the platform's entry of an instance is only a hint.
+   as the primary at the time at which it accepts a write or a plain BEGIN,
+   that is, one that is not read-only; its log position then includes all
+   commits acknowledged before.  The role in the platform's entry of an
+   instance is only a hint.
 
    This module probes the instances, collects log positions of the primary
    (see samples.h), which bound the staleness of reads, and estimates the cost
@@ -30,8 +31,9 @@
    probed.  */
 #define GROUP_SAMPLE_AGE_MS 600
 
-/* Time without an answer after which a primary is probed by the host that
-   monitors it, and by all hosts while one reports it as unreachable.  */
+/* Age of the newest sample at which a primary is probed by the host that
+   monitors it, and time without an answer after which all hosts probe it while
+   one reports it as unreachable.  */
 #define GROUP_MONITOR_MS 200
 
 /* Time without an answer after which any instance is probed.  */
--- a/src/proxy/group_confirm.c
+++ b/src/proxy/group_confirm.c
@@ -1,5 +1,5 @@
-/* Confirmation of the primary, and of the position from which on its log
-   contains all acknowledged commits.
+/* Confirmation of the primary, and of the position at which its log contains
+   all acknowledged commits.
 
    A promoted instance accepts statements before it has applied all log
    records that it had received as a replica.  Accepting a plain BEGIN
@@ -12,7 +12,8 @@
 
 #include "kernel/mutant.h"
 
-/* Timeout of a query for the state of a new primary.  */
+/* Timeout of a query for the state of a new primary.  Without an answer the
+   next confirmation of the primary starts another query.  */
 #define QUERY_TIMEOUT_MS 60
 
 /* A newer term seen within this time of the newest sample is the term that
@@ -70,8 +71,8 @@
       STMT_STATUS, 0, QUERY_TIMEOUT_MS, on_state, group);
 }
 
-/* Determines the position from which on the log of BACKEND, the primary,
-   contains all acknowledged commits.  */
+/* Determines the position at which the log of BACKEND, the primary, contains
+   all acknowledged commits.  */
 static void
 find_caught_up (struct group *group, struct backend *backend,
                 struct position position)
--- a/src/proxy/group_impl.h
+++ b/src/proxy/group_impl.h
@@ -25,8 +25,8 @@
   size_t count;
   struct member_instance *instances[GROUP_INSTANCES];
   struct backend *leader;
-  /* The log of CAUGHT_UP, the primary, contains all acknowledged commits from
-     the position CAUGHT_UP_AT on.  */
+  /* Once the log of CAUGHT_UP, the primary, has reached CAUGHT_UP_AT, it
+     contains all acknowledged commits.  */
   struct backend *caught_up;
   struct position caught_up_at;
   struct backend *queried; /* the instance that QUERY was sent to */
