--- a/src/proxy/hosts.c
+++ b/src/proxy/hosts.c
@@ -111,7 +111,7 @@
 ignore_reply (void *arg, enum peer_status status, const peer_message *reply)
 {
   (void)arg;
-  (void)status; /* the caller is not interested in the result */
+  (void)status; /* the sender needs no result */
   (void)reply;
 }
 
--- a/src/proxy/promoter.c
+++ b/src/proxy/promoter.c
@@ -32,12 +32,13 @@
   char old[NAME_BYTES];    /* empty if the old primary is not known */
   char chosen[NAME_BYTES]; /* the instance to be promoted */
   bool hand_over;
-  struct position reached;     /* newest sample of the old primary */
-  struct position final;       /* position at which the old primary stopped */
-  clk_ms started_ms;           /* start of the change */
-  clk_ms stage_ms;             /* start of the stage */
-  clk_ms next_ms;              /* earliest start of the next change */
-  clk_ms first_attempt_ms;     /* first attempt in a series, or CLK_NEVER */
+  struct position reached; /* newest sample before a hand-over */
+  struct position final;   /* position at which the old primary stopped */
+  clk_ms started_ms;       /* start of the change */
+  clk_ms stage_ms;         /* start of the stage */
+  clk_ms next_ms;          /* earliest start of the next change */
+  /* First attempt since a primary was last reachable, or CLK_NEVER.  */
+  clk_ms first_attempt_ms;
   clk_ms unreachable_since_ms; /* for the holder of the duty, or CLK_NEVER */
   clk_ms partly_cut_since_ms;  /* for two thirds of the hosts, or CLK_NEVER */
   uint64_t token;
--- a/src/proxy/roster.c
+++ b/src/proxy/roster.c
@@ -45,8 +45,8 @@
   roster->store->ops->call (roster->store, &call, done, arg);
 }
 
-/* A pending watch does not reveal that the store refuses other calls, so the
-   status comes from those.  */
+/* Called with the status of other calls too, not only by the mirror: a pending
+   watch does not reveal that the store refuses them.  */
 void
 roster_set_store_status (struct roster *roster, enum platform_status status)
 {
@@ -307,7 +307,7 @@
   free (key);
   if (host)
     update_hosts (roster);
-  /* It may have been that of an earlier process.  */
+  /* The removed registration may be that of an earlier process.  */
   if (was_own)
     register_host (roster);
   if (duty)
--- a/src/proxy/roster.h
+++ b/src/proxy/roster.h
@@ -62,7 +62,7 @@
 /* Jitter after a full listing, since all hosts may have started together.  */
 #define ROSTER_START_JITTER_MS 2500
 
-/* How long a host that released the duty does not try to acquire it.  */
+/* How long a host that resigned the duty does not try to acquire it.  */
 #define ROSTER_RESIGN_BACKOFF_MS 4000
 
 struct roster_options
--- a/src/proxy/roster_impl.h
+++ b/src/proxy/roster_impl.h
@@ -83,7 +83,7 @@
   struct lease *duty_lease;
   bool claiming; /* a write of the duty key is in flight */
   clk_ms yield_until_ms;
-  uint64_t resigned_token; /* token of the duty released last */
+  uint64_t resigned_token; /* token of the duty resigned last */
   bool leaving;
   uint64_t registered; /* revision of this process's registration */
   uint64_t replaced;   /* revision expected by the last registration */
--- a/src/proxy/roster_reports.c
+++ b/src/proxy/roster_reports.c
@@ -165,8 +165,8 @@
   return counted.count;
 }
 
-/* Returns whether this host reports INSTANCE but the store has no report of
-   it.  */
+/* Returns whether this host reports INSTANCE and that report is not in the
+   store.  */
 static bool
 reports_itself (const struct roster *roster, const char *group,
                 const char *instance)
@@ -236,8 +236,8 @@
     add_domain_hosts (domains, others[i].zone, 0);
 }
 
-/* Returns whether any report exists, so that counting is skipped in normal
-   operation.  */
+/* Returns whether any report exists.  In normal operation none does, and
+   nothing needs to be counted.  */
 static bool
 has_reports (const struct roster *roster)
 {
--- a/tests/fleet/fleet_instance.c
+++ b/tests/fleet/fleet_instance.c
@@ -67,7 +67,7 @@
   enum tx_state state;
   bool read_write; /* the transaction requires the primary */
   bool wrote;      /* in the transaction */
-  bool demoted;    /* the instance was, during the transaction */
+  bool demoted;    /* the instance was demoted in the transaction */
   uint64_t tx;
   struct values values;
   size_t prepared_count;
@@ -86,7 +86,7 @@
 }
 
 static void
-free_connection (struct instance_link *link)
+free_connection_slot (struct instance_link *link)
 {
   if (link->counted)
     link->instance->connections--;
@@ -99,7 +99,7 @@
 {
   if (link->host != NULL || link->steps > 0)
     return;
-  free_connection (link);
+  free_connection_slot (link);
   values_clear (&link->values);
   free (link);
 }
@@ -577,7 +577,7 @@
 notice_close (struct instance_link *link)
 {
   link->dead = true;
-  free_connection (link);
+  free_connection_slot (link);
 }
 
 static void
--- a/tests/fleet/fleet_store.c
+++ b/tests/fleet/fleet_store.c
@@ -341,8 +341,9 @@
   fleet_schedule (call->store->fleet, span_ms, fn, ref);
 }
 
-/* Checks a pending watch periodically: fails it if the store is unreachable,
-   else delivers events that occurred while it was.  */
+/* Checks a watch periodically.  Fails it if the store is unreachable now;
+   otherwise delivers events that an unreachable store could not deliver
+   before.  */
 static void
 keep_alive (void *arg)
 {
--- a/tests/fleet/fleet_unit.h
+++ b/tests/fleet/fleet_unit.h
@@ -54,7 +54,8 @@
   ck_abort_msg ("no host holds the duty");
 }
 
-/* Sends writes through HOST until one succeeds; returns the time that took. */
+/* Sends writes through HOST until one succeeds.  Returns the time from the
+   first write to that success.  */
 static inline clk_ms
 write_gap_ms (struct fleet_host *host)
 {
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -282,7 +282,7 @@
 static const uint64_t regressions[] = {
   612, /* the oracle treated a refused SET as acknowledged */
   947, /* a host did not know that it held the duty: unanswered watch */
-  219, /* no primary after a planned promotion without a reachable candidate */
+  219, /* no primary after a hand-over in which no candidate answered */
 };
 
 UNIT_PLAIN_LOOP (test_regressions_pass, 0,
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -546,9 +546,8 @@
   uint64_t before = fleet_store_calls (fleet);
   fleet_run (fleet, 30000);
   uint64_t calls = fleet_store_calls (fleet) - before;
-  /* Per host: a lease renewal every 2.5 s, a watch of 30 s and a check every
-     15 s.  In addition, the holder of the duty renews its lease every
-     450 ms.  */
+  /* 16 calls per host in 30 s: a lease renewal every 2 s and a watch of 30 s.
+     In addition, the holder of the duty renews its lease every 450 ms.  */
   ck_assert_uint_le (calls, FLEET_DEFAULT_HOSTS * (12 + 1 + 2 + 1) + 67);
 }
 
