--- a/src/core/conn_pool.h
+++ b/src/core/conn_pool.h
@@ -52,8 +52,8 @@
   const char *address;
   uint16_t port;
   uint32_t limit;
-  /* Called after a connection was opened, broke or was closed by the
-     server.  */
+  /* Called after a connection was opened, was refused, broke or was closed
+     by the server.  */
   void (*changed) (void *arg);
   void *arg;
 };
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -154,7 +154,7 @@
   return entry->call_count + entry->tx_count;
 }
 
-/* Routes the calls that are held for a term of this database.  */
+/* When a term becomes active, routes the held calls of its database.  */
 static void
 on_term (void *arg, const char *database, const struct term_record *record)
 {
--- a/src/core/entry.h
+++ b/src/core/entry.h
@@ -3,8 +3,10 @@
    The host that receives a request from a caller is its entry host.  It
    checks the caller, determines the kind, session and deadline, selects an
    instance with the router and forwards the request to a gateway of that
-   instance.  Attempts that certainly did not run are retried within the
-   deadline and the retry budget.  If an answer to a write is lost, the
+   instance.  Within the deadline, a refused read is sent to another instance,
+   a write or strong read is held while no primary can serve it, and a read or
+   a repeatable write of unknown outcome is retried.  Retries after a backoff
+   are limited by a budget.  If the answer to any other write is lost, its
    outcome is looked up in the ledger of the database.
 
    Module name: "entry".  */
@@ -27,7 +29,7 @@
   ENTRY_EXECUTE, /* a statement inside an open transaction */
   ENTRY_COMMIT,
   ENTRY_ROLLBACK,
-  ENTRY_LOOKUP /* returns the outcome of an earlier request id */
+  ENTRY_LOOKUP /* outcome of an earlier request id; runs no statement */
 };
 
 /* Strings may be NULL where a default exists.  They are copied by
--- a/src/core/entry_call.h
+++ b/src/core/entry_call.h
@@ -26,8 +26,8 @@
 /* Deadline of one look-up or tombstone write.  */
 #define ENTRY_RESOLVE_TIMEOUT_MS 1000
 
-/* Added to the deadline that a gateway is given, so that its own answer
-   arrives before the peer call times out.  */
+/* A peer call to a gateway times out this long after the deadline that the
+   gateway is given, so that the gateway's own answer arrives first.  */
 #define ENTRY_REPLY_MARGIN_MS 250
 
 /* Retries of a request under POLICY_PLAIN.  */
@@ -59,7 +59,7 @@
 enum call_phase
 {
   CALL_NEW,       /* about to be routed, at once or by the timer */
-  CALL_HELD,      /* waits for a new term record or the retry timer */
+  CALL_HELD,      /* waits for an active term or the retry timer */
   CALL_SENT,      /* waits for the answer of a gateway */
   CALL_RESOLVING, /* waits for the answer to a look-up */
   CALL_FINISHED
@@ -107,7 +107,7 @@
   entry_done done;
   void *arg;
   enum entry_action action;
-  bool explain_only; /* by an operator, without a caller's secret */
+  bool explain_only; /* for an operator, who has no caller's secret */
   struct view_kind kind;
   struct entry_load *load;
   char service[2 * NAME_BYTES + 1];
@@ -135,10 +135,12 @@
   uint32_t retries;
   size_t tried_count;
   char tried[ROUTER_AVOID_LIMIT][PATH_BYTES];
-  uint64_t uncertain_term; /* highest term in which it may run; 0 if none */
+  uint64_t uncertain_term; /* highest term in which it may have run or may
+                              still run; 0 if none */
   bool retry;              /* an earlier request with this id may have run */
-  bool maybe_ran;          /* an earlier attempt may have run, so a refusal is
-                              answered with OUTCOME_UNKNOWN */
+  bool maybe_ran;          /* an earlier attempt or request may have run, and
+                              no ledger row shows the outcome; a refusal is
+                              then answered with OUTCOME_UNKNOWN */
   enum reason reason;      /* of the latest refusal */
   bool busy;               /* latest refusal of a read: no slot in time */
   clk_ms retry_after_ms;
--- a/src/core/entry_send.c
+++ b/src/core/entry_send.c
@@ -46,8 +46,8 @@
     execute->max_age_ms = call->kind.max_age_ms;
 }
 
-/* Returns the deadline for the gateway: that of the request, or that of one
-   look-up or tombstone write.  */
+/* Returns the time that the gateway is given: what is left until the deadline
+   of the request, or the timeout of one look-up or tombstone write.  */
 static clk_ms
 time_left (const struct entry_call *call)
 {
@@ -206,7 +206,8 @@
 }
 
 /* Sends the call to the other gateway of the same instance.  Returns false if
-   there is none or it was already used.  */
+   there is none, it was already used or no time is left, and always in a
+   transaction and under POLICY_PLAIN.  */
 static bool
 try_second_host (struct entry_call *call)
 {
@@ -297,9 +298,10 @@
          && executed->reason != REASON_TOKEN_AHEAD;
 }
 
-/* Returns whether an acknowledgement under ACK_PRIMARY took longer than
-   ACK_TRANSIT_MS.  It relies on the gateway's view of the term, which may be
-   outdated by now: the primary may have been replaced.  */
+/* Returns whether an acknowledgement under ACK_PRIMARY came more than
+   ACK_TRANSIT_MS after the request was sent.  It may rely on the gateway's
+   view of the term, which may be outdated by now: the primary may have been
+   replaced.  */
 static bool
 is_overdue (const struct entry_attempt *attempt, const peer_executed *executed)
 {
--- a/src/core/gateway_impl.h
+++ b/src/core/gateway_impl.h
@@ -23,8 +23,9 @@
 /* Time after its deadline at which a running job is aborted.  */
 #define GW_RUN_GRACE_MS 20
 
-/* Majority writes are refused once no replica has confirmed the log of the
-   primary for this time.  */
+/* Writes that need the confirmation of a replica are refused once the primary
+   has had unconfirmed log for this time and no replica has confirmed any of
+   it.  */
 #define GW_ACK_STALL_LIMIT_MS 2000
 
 /* Consecutive connection failures after which an instance without an open
@@ -41,8 +42,8 @@
 /* Open transactions of one instance.  */
 #define GW_TX_LIMIT 64
 
-/* A transaction is rolled back after this time without a statement, or
-   without a heartbeat from its entry host.  */
+/* A transaction is rolled back after the first time without a statement, or
+   after the second without a statement or heartbeat from its entry host.  */
 #define GW_TX_IDLE_TIMEOUT_MS 30000
 #define GW_TX_HEARTBEAT_TIMEOUT_MS 3000
 
@@ -137,7 +138,8 @@
   uint32_t weight;
   uint32_t slots; /* jobs that this host may run at a time */
   uint32_t instance_count;
-  bool leaving;                /* being removed: refuses new requests */
+  bool leaving;                /* being removed: new requests are refused,
+                                  except look-ups */
   uint64_t members_generation; /* for which role and limits were computed */
   uint64_t view_generation;
   enum gw_role role;
@@ -203,8 +205,8 @@
   return kernel_now (gateway->base.kernel);
 }
 
-/* gateway.c: instances.  gw_instance_get adds the instance if it is missing
-   and returns NULL if it is not placed on this host.  */
+/* gateway.c: instances.  gw_instance_get adds a missing instance if it is
+   placed on this host, and returns NULL if a missing one is not.  */
 struct gw_instance *gw_instance_get (struct gateway *gateway,
                                      const struct view_database *database,
                                      const struct view_instance *at);
--- a/src/core/gateway_result.c
+++ b/src/core/gateway_result.c
@@ -111,9 +111,9 @@
    the age of its data.  The reported lag is relative to the primary that the
    replica follows, so this primary must not have been replaced.  A term
    record that is recent enough shows this.  Otherwise the replica shows it
-   while it receives the log of its primary and is not sealed (fenced against
-   that term): then two of three instances belong to this primary and no
-   majority is left for another one.  */
+   while it receives the log of its primary and is not sealed for a higher
+   term: then two of three instances belong to this primary and no majority is
+   left for another one.  */
 static enum reason
 check_age (const struct gw_job *job, const struct term_record *record,
            const struct db_report *report)
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -15,7 +15,7 @@
 #define RETRY_SHARE_PERCENT 10
 #define RETRY_BURST 10 /* retries */
 
-/* Limit of the delay before the first retry, and before any.  */
+/* Upper bounds of the delay before the first retry and before any retry.  */
 #define RETRY_BASE_MS 5
 #define RETRY_CAP_MS 500
 
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -38,7 +38,7 @@
   enum freshness freshness;
   clk_ms max_age_ms;        /* with FRESHNESS_MAX_AGE */
   struct position position; /* of the session */
-  size_t avoid_count;       /* instances that failed or refused the read */
+  size_t avoid_count;       /* instances that were already tried */
   const char *avoid[ROUTER_AVOID_LIMIT];
 };
 
--- a/src/core/router_probe.c
+++ b/src/core/router_probe.c
@@ -30,8 +30,10 @@
                 on_probe_reply, router);
 }
 
-/* Returns whether the instance lagged and has not reported since.  It gets
-   little or no traffic, so without a probe its recovery goes unnoticed.  */
+/* Returns whether the instance lagged at its last report, or is not back in
+   full rotation, and that report is older than PROBE_MS.  Such an instance
+   gets little or no traffic, so without a probe its recovery would go
+   unnoticed.  */
 static bool
 needs_probe (const struct router_state *state, clk_ms now_ms)
 {
--- a/src/core/router_state.h
+++ b/src/core/router_state.h
@@ -26,7 +26,7 @@
   uint64_t replayed_lsn;
   clk_ms lag_ms;
   clk_ms observed_ms;   /* time of the last report */
-  uint32_t queued;      /* reported queue length */
+  uint32_t queued;      /* reported: queued and running there */
   uint32_t outstanding; /* requests in flight from this host */
   clk_ms sent_ms;       /* time of the last request */
   clk_ms down_until_ms; /* end of the backoff after failures */
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -33,7 +33,7 @@
 {
   REASON_NONE,
   REASON_DEADLINE,        /* could not finish before the deadline */
-  REASON_OVERLOAD,        /* a queue or budget is full */
+  REASON_OVERLOAD,        /* a queue is full or a limit is reached */
   REASON_NO_PRIMARY,      /* no usable primary within the deadline */
   REASON_NO_REPLICA,      /* no instance meets the required freshness */
   REASON_NO_MAJORITY,     /* no replica of the primary confirms writes */
