--- a/src/core/acks.h
+++ b/src/core/acks.h
@@ -43,8 +43,9 @@
   size_t count;
   uint64_t term; /* term in the latest report */
   uint64_t confirmed_lsn;
-  clk_ms progress_ms; /* last report in which confirmed_lsn advanced, or
-                         all log was confirmed */
+  /* Time of the last report in which confirmed_lsn advanced, all log was
+     confirmed, the term changed, or the instance was not primary.  */
+  clk_ms progress_ms;
 };
 
 void acks_init (struct acks *acks, clk_ms now_ms);
--- a/src/core/confedit_job.h
+++ b/src/core/confedit_job.h
@@ -20,7 +20,8 @@
 };
 
 /* A change runs in rounds.  Each round reads the team, then the head, and
-   writes both if the team is unchanged since the first round.  */
+   writes both if the team is unchanged since the first round, that is, the
+   first one whose reads succeeded.  */
 struct confedit_job
 {
   struct confedit *confedit;
--- a/src/core/failover.h
+++ b/src/core/failover.h
@@ -3,8 +3,9 @@
    The coordinators of a database are the first three hosts in rendezvous
    order of "failover/DATABASE", in different failure domains.  Each of them
    probes the instances (see monitor.h).  A primary that hosts of two failure
-   domains can't reach is replaced (see promotion.h).  No promotion starts
-   while the platform is unavailable, as it decides between coordinators.
+   domains can't reach is replaced (see promotion.h).  While the platform is
+   unavailable no new primary is chosen, as the platform decides between
+   coordinators; the attempt waits.
 
    Module name: "failover".  */
 
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -454,8 +454,8 @@
   return by_name (a->entry, b->entry) < 0;
 }
 
-/* Inserts CANDIDATE into the sorted array BEST of COUNT entries, which drops
-   its last entry if LIMIT is reached.  Returns the new count.  */
+/* Inserts CANDIDATE into BEST, a sorted array of COUNT entries, of which only
+   the LIMIT best are kept.  Returns the new count.  */
 static size_t
 insert_best (struct candidate *best, size_t count, size_t limit,
              const struct candidate *candidate)
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -61,10 +61,10 @@
 #define MEMBERS_CHANGES 256
 
 /* Writes to OUT the hashes of the hosts that were added or removed, or whose
-   address or usability changed, since GENERATION, and their number to COUNT.
-   A host that changed several times is listed several times.  Returns false if
-   there were more than MEMBERS_CHANGES changes: then any host may have
-   changed.  */
+   address, incarnation, failure domain or usability changed, since
+   GENERATION, and their number to COUNT.  A host that changed several times is
+   listed several times.  Returns false if there were more than MEMBERS_CHANGES
+   changes: then any host may have changed.  */
 bool members_changes_since (const struct members *members, uint64_t generation,
                             uint64_t out[MEMBERS_CHANGES], size_t *count);
 
@@ -74,7 +74,7 @@
                    void *arg);
 
 /* Calls FN for each failure domain that has a member, in the order in which
-   they were first seen in the list.  */
+   this host first learned of them; its own comes first.  */
 void members_each_domain (struct members *members,
                           void (*fn) (void *arg, const char *domain),
                           void *arg);
--- a/src/core/monitor.c
+++ b/src/core/monitor.c
@@ -18,8 +18,8 @@
 #define UNREACHABLE_FAILURES 2
 #define NOT_PRIMARY_REPORTS 2
 
-/* Probe interval while the primary is suspected, or the instance is
-   unreachable or not yet known.  */
+/* Probe interval while the primary is suspected, the instance is unreachable
+   or not yet known, or its latest report is not that of the primary.  */
 #define PROBE_BUSY_MS 100
 
 /* Replicas are probed at this multiple of the interval.  */
--- a/src/core/monitor.h
+++ b/src/core/monitor.h
@@ -152,10 +152,11 @@
 void monitor_clear_consulted (struct monitor *monitor);
 
 /* Returns whether the queried host in the primary's failure domain did not
-   answer.  Sets KNOWN to false if there is no recent answer or failure.  */
+   answer.  Sets KNOWN to whether there is a recent answer or failure; to true,
+   and returns false, if no host but this one can be queried there.  */
 bool monitor_domain_is_down (const struct monitor *monitor, bool *known);
 
-/* Makes replicas that don't replicate from the primary do so again; in
+/* Makes other instances that don't replicate from the primary do so again; in
    monitor_repair.c.  */
 void monitor_repair (struct monitor *monitor);
 
--- a/src/core/monitor_repair.c
+++ b/src/core/monitor_repair.c
@@ -22,7 +22,7 @@
 }
 
 /* Makes INSTANCE replicate from the primary of RECORD.  If it reports to be
-   primary itself, of an older term, it is fenced first.  */
+   primary itself, it is fenced first.  */
 static void
 repair (struct monitor *monitor, struct monitor_instance *instance,
         const struct term_record *record)
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -56,7 +56,8 @@
 
 /* Starts a graceful shutdown: marks the host as leaving, so that its roles
    move to other hosts, and refuses new requests.  node_drained returns true
-   once no request is in flight.  */
+   once no request is in flight, but not before the other hosts have had time
+   to receive the mark.  */
 void node_drain (struct node *node);
 bool node_drained (const struct node *node);
 
--- a/src/core/promotion.c
+++ b/src/core/promotion.c
@@ -94,9 +94,10 @@
   promotion_enter (monitor, phase);
 }
 
-/* Returns whether the primary alone acknowledges some kind of request, so that
-   hosts with an old view of the term could still acknowledge at the old
-   primary.  True if the database is not in the view.  */
+/* Returns whether the primary alone acknowledges some kind of request, or
+   serves strong reads of it without a replica's confirmation.  Hosts with an
+   old view of the term could then still do so at the old primary.  True if the
+   database is not in the view.  */
 static bool
 needs_view_expiry (const struct monitor *monitor)
 {
@@ -112,7 +113,8 @@
 }
 
 /* Delays the activation until all hosts have either received the claim or
-   stopped acknowledging, because their view of the term is too old.  */
+   stopped relying on the old primary alone, because their view of the term is
+   too old.  */
 static void
 set_activation_delay (struct monitor *monitor)
 {
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -15,9 +15,10 @@
      CHOOSE    compare-and-swap: {chosen, primary, start of T+1}
      PROMOTE   the chosen instance becomes primary of T+1
      ACTIVATE  compare-and-swap: {active}.  If the primary alone acknowledges
-               a kind of request, and the old one was not sealed, it waits
-               until TERM_VIEW_MAX_AGE_MS, plus a margin for clock drift,
-               have passed since CLAIM
+               a kind of request or serves its strong reads, and the old one
+               was not sealed, it waits until TERM_VIEW_MAX_AGE_MS, plus a
+               margin for clock drift, have passed since CLAIM, or since
+               another host continued the attempt
 
    A write is acknowledged once the primary and one replica of its term have
    received it.  Of N instances N - 1 are sealed before the choice, so at
--- a/src/core/promotion_jobs.c
+++ b/src/core/promotion_jobs.c
@@ -38,8 +38,8 @@
              : NULL;
 }
 
-/* Returns whether the instance is in a later term than this attempt.  The
-   record of the other attempt will be received soon.  */
+/* Returns whether the instance is in, or sealed for, a later term than that of
+   this attempt.  The record of the other attempt will be received soon.  */
 static bool
 is_superseded (const struct promotion *p, const struct db_report *report)
 {
--- a/src/core/sync.h
+++ b/src/core/sync.h
@@ -50,8 +50,8 @@
 
 /* Counts the hosts by revision with queries along the tree, and calls DONE
    with the result, once, within a few seconds.  REVISIONS are sorted by
-   descending revision; listed hosts that did not answer count as
-   revision 0.  */
+   descending revision.  Listed hosts whose revision no host has reported
+   count as revision 0.  */
 typedef void (*sync_count_done) (void *arg,
                                  const struct sync_revision_hosts *revisions,
                                  size_t count);
--- a/src/core/sync_hosts.h
+++ b/src/core/sync_hosts.h
@@ -29,8 +29,8 @@
   bool known;
   uint64_t index;        /* of the platform's list */
   uint64_t change_index; /* of the last change of any host */
-  /* Hosts that know an index below this one need the whole list, as removals
-     before it have been discarded.  */
+  /* Hosts that know an index below this one need the whole list, as some
+     removals up to it are unknown here or have been discarded.  */
   uint64_t full_before;
   size_t removed_count;
   struct sync_host *by_name;
--- a/src/core/terms.h
+++ b/src/core/terms.h
@@ -1,10 +1,10 @@
 /* terms - local copies of the term records of all databases.
 
    The term record of a database names its primary, the term (a number that
-   rises with each change of primary) and the log positions where earlier
-   terms begin.  The platform's copy is authoritative.  Hosts receive it
-   through relays or from the coordinator that wrote it.  A record with a
-   lower platform index or term never replaces a newer one.
+   rises with each change of primary) and the log positions where this term
+   and earlier ones begin.  The platform's copy is authoritative.  Hosts
+   receive it through relays or from the coordinator that wrote it.  A record
+   with a lower platform index or term never replaces a newer one.
 
    Module name: "terms".  */
 
