--- a/src/cli/cmd_query.c
+++ b/src/cli/cmd_query.c
@@ -104,8 +104,9 @@
   return fclose (file) == 0 && ok;
 }
 
-/* Returns the caller's secret; the caller frees it.  There is no flag for it,
-   since command lines are visible to other users.  */
+/* Returns the caller's secret, which is read from a file or else from
+   SAVORYWAY_CALLER_SECRET; the caller frees it.  No flag takes the secret
+   itself, since command lines are visible to other users.  */
 static char *
 read_secret (const struct input *input)
 {
--- a/src/cli/proxy_report.h
+++ b/src/cli/proxy_report.h
@@ -10,7 +10,8 @@
 
 /* Adds to STATUS the state of the modules of KERNEL: configuration version,
    numbers of databases, groups, hosts and forwarded sessions, reachability of
-   the store, and the promotion duty with its fencing token.  */
+   the store, whether this host is cut off, and the promotion duty with its
+   fencing token.  */
 void proxy_report_status (struct kernel *kernel, json_t *status);
 
 /* Returns the hosts and the replica groups.  A group has its primary and its
--- a/src/cli/settings.c
+++ b/src/cli/settings.c
@@ -370,7 +370,8 @@
   free (variable);
 }
 
-/* Checks constraints beyond the range of a single setting.  */
+/* Checks what the table of settings can't express: other hosts connect to the
+   RPC address, so it must not be a wildcard.  */
 static void
 check_together (const struct settings *settings, struct findings *findings)
 {
--- a/src/kernel/clock.h
+++ b/src/kernel/clock.h
@@ -15,7 +15,8 @@
 /* A point after all others: no timeout, nothing due.  */
 #define CLK_NEVER INT64_MAX
 
-/* A point before all others.  Differences to it do not overflow.  */
+/* A point before all others.  The time from it to any point that a clock
+   returns does not overflow; that to CLK_NEVER does.  */
 #define CLK_LONG_AGO (INT64_MIN / 4)
 
 struct clk;
--- a/src/port/db_port.h
+++ b/src/port/db_port.h
@@ -43,7 +43,8 @@
 {
   DB_OK,
   DB_SQL_ERROR, /* the statement failed and left no effect */
-  DB_REFUSED,   /* not executed: the job had no effect */
+  DB_REFUSED,   /* the job certainly had no effect: it was not executed, or
+                   was rolled back */
   DB_LOST,      /* the connection failed while the job ran; the job may have
                    taken effect */
   DB_NOT_FOUND, /* DB_LOOKUP: no such ledger row */
--- a/src/port/peer.x
+++ b/src/port/peer.x
@@ -1,7 +1,10 @@
 /* Messages between hosts.  Compiled by rpcgen; the output is committed.
 
-   A host ignores procedures that it doesn't know, so that two versions can
-   run during a rolling replacement.  New fields go into new procedures.  */
+   Two versions run side by side during a rolling replacement of hosts.  A
+   host refuses calls of a procedure or message kind that it does not know, in
+   an authentic reply, so the caller knows that they were not processed.  The
+   structs of existing kinds must not change: new fields go into new kinds or
+   procedures.  */
 
 const PEER_NAME_LIMIT = 256;
 const PEER_TEXT_LIMIT = 1048576;
@@ -16,8 +19,9 @@
   string text<PEER_TEXT_LIMIT>;
 };
 
-/* Who is speaking.  Every call starts with it; authenticator is a keyed
-   hash over the rest of the call with the host-to-host secret.  */
+/* The sender of a message.  Every message starts with it.  It is trusted,
+   since records are authenticated with the secret shared by the hosts; see
+   rpc_message.h.  */
 struct peer_identity {
   peer_name host;
   peer_name domain;
@@ -50,7 +54,7 @@
   peer_param params<PEER_PARAM_LIMIT>;
 };
 
-/* State of an instance as its gateway observed it.  */
+/* State of an instance as its gateway last observed it.  */
 struct peer_instance_state {
   peer_name instance;
   unsigned hyper term;
@@ -61,6 +65,7 @@
   unsigned int queued;
 };
 
+/* Reply to peer_execute.  */
 struct peer_executed {
   int outcome;
   int reason;
@@ -75,9 +80,11 @@
   opaque payload<PEER_RESULT_LIMIT>;
 };
 
-/* Sent by an entry host to a gateway that holds open transactions of it, and
-   by a host that is leaving; the gateway rolls back transactions whose entry
-   host stays silent.  */
+/* Sent by an entry host to a gateway with open transactions of it, and without
+   transactions to probe a gateway.  If leaving is set, the sender is shutting
+   down.  The gateway rolls back transactions whose entry host sends nothing
+   for too long.  The reply has those of the transactions that are still open,
+   and the states of the gateway's instances.  */
 struct peer_heartbeat {
   unsigned hyper revision;
   bool leaving;
@@ -85,6 +92,8 @@
   peer_instance_state instances<PEER_BATCH_LIMIT>;
 };
 
+/* Whether the sender suspects PRIMARY, the primary of TERM, of having failed;
+   the request asks the receiver for the same.  */
 struct peer_suspicion {
   peer_name database;
   unsigned hyper term;
@@ -92,8 +101,8 @@
   bool suspected;
 };
 
-/* Asks a relay for what is newer than the given revisions; the answer is
-   delayed up to wait_ms while there is nothing new.  */
+/* Requests from a relay the changes after the given revisions.  The reply is
+   delayed up to wait_ms while there are none.  */
 struct peer_pull {
   unsigned hyper config_revision;
   unsigned hyper terms_index;
@@ -118,8 +127,8 @@
   bool removed;
 };
 
-/* What is newer than a pull asked for.  config_full and hosts_full say that
-   the list is complete and replaces what the receiver has.  */
+/* Reply to peer_pull: the changes after its revisions.  If config_full or
+   hosts_full is set, that list is complete and replaces the receiver's.  */
 struct peer_update {
   unsigned hyper config_revision;
   unsigned hyper terms_index;
@@ -132,8 +141,8 @@
   peer_host hosts<PEER_BATCH_LIMIT>;
 };
 
-/* How many hosts have which configuration revision, as a relay knows it.
-   Empty in the question.  */
+/* Number of hosts by configuration revision, as counted by a relay.  The
+   request has no entries.  */
 struct peer_census_entry {
   unsigned hyper revision;
   unsigned int hosts;
@@ -151,20 +160,21 @@
   string text<PEER_TEXT_LIMIT>;
 };
 
-/* A statement of a caller's session, for a host with connections to the
-   instances of its group, with all of the session that it depends on.  */
+/* A statement of a caller's session, forwarded to a host with connections to
+   the instances of its group, with all state of the session that it depends
+   on.  */
 struct peer_forward {
   unsigned hyper number; /* of the statement or transaction; chosen by the
                             sender */
   bool in_transaction;
   bool begins;    /* first statement of the transaction */
   bool read_only; /* likewise */
-  bool may_wait;              /* for a primary */
+  bool may_wait;  /* the receiver may let it wait for a primary */
   peer_name database;
   peer_name group;
   unsigned int route_kind;
   unsigned int priority;
-  hyper timeout_ms; /* what is left of it */
+  hyper timeout_ms; /* time left of it */
   hyper target_ms;  /* likewise */
   hyper max_staleness_ms;
   hyper session_age_ms;
@@ -181,10 +191,11 @@
   string rest<PEER_TEXT_LIMIT>;
 };
 
-/* How it ended.  */
+/* Reply to peer_forward: the outcome of the statement.  */
 struct peer_forwarded {
   unsigned int code;
-  bool overloaded; /* refused as too many wait for the group's instances */
+  bool overloaded; /* refused, since too many statements wait for the group's
+                      instances */
   string reason<PEER_TEXT_LIMIT>;
   opaque answer<PEER_RESULT_LIMIT>;
   peer_name instance;
@@ -192,8 +203,8 @@
   unsigned hyper own_lsn;
 };
 
-/* Asks a relay for what the store has that is newer than a revision; held
-   up to wait_ms while there is nothing.  */
+/* Requests from a relay the changes of the store after REVISION.  The reply is
+   delayed up to wait_ms while there are none.  */
 struct peer_follow {
   unsigned hyper revision;
   hyper wait_ms;
@@ -207,8 +218,9 @@
   opaque value<PEER_TEXT_LIMIT>;
 };
 
-/* All of it up to a revision; with all set, keys that are not listed are
-   gone.  */
+/* Reply to peer_follow: all changes up to REVISION.  If all is set, the items
+   are the whole content of the store, and keys that are not listed have been
+   deleted.  */
 struct peer_followed {
   unsigned hyper revision;
   bool all;
@@ -224,7 +236,8 @@
   PEER_KIND_SUSPICION = 4,
   PEER_KIND_PULL = 5,
   PEER_KIND_UPDATE = 6,
-  PEER_KIND_REFUSED = 7, /* answer: the sender is not a known member */
+  PEER_KIND_REFUSED = 7, /* reply: not handled, since the sender is not a
+                            known member or the receiver lacks the kind */
   PEER_KIND_CENSUS = 8,
   PEER_KIND_FORWARD = 9,
   PEER_KIND_FORWARDED = 10,
--- a/src/port/pg_job.c
+++ b/src/port/pg_job.c
@@ -86,7 +86,8 @@
   pg_conn_finish (conn, status, conn->result.text, conn->result.length);
 }
 
-/* Reports the rows of the statement, or its failure.  */
+/* Reports the rows if all queries of the batch succeeded, the status query
+   included, else the failure.  */
 static void
 finish_statement (struct pg_conn *conn)
 {
--- a/src/port/pg_role.c
+++ b/src/port/pg_role.c
@@ -1,6 +1,7 @@
 /* Changes of an instance's role.  Each change takes the instance's advisory
    lock, changes settings with ALTER SYSTEM, and polls until they are in
-   effect.  The position that a seal or fence reports is therefore final.  */
+   effect.  The position that a seal, or the fence of a former primary, reports
+   is therefore final.  */
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/fuzz/sim_oracle.h
+++ b/tests/fuzz/sim_oracle.h
@@ -29,7 +29,7 @@
   PROMISE_AT_MOST_ONCE, /* non-repeatable requests run at most once */
   PROMISE_LEAVING,      /* a leaving database gets no new work */
   PROMISE_DRAIN,        /* graceful shutdown interrupts no request */
-  PROMISE_CONFIG,       /* accepted configuration stays in force */
+  PROMISE_CONFIG,       /* accepted configuration takes effect and stays */
   PROMISE_NO_LEAK,      /* no request or connection is leaked */
   PROMISE_COUNT
 };
@@ -95,7 +95,8 @@
                             size_t count, const char *primary);
 
 /* Checks the answer to SESSION's read of the key of WRITE.  Unless SINCE_MS is
-   0, a write acknowledged up to that time must be visible to any session.  */
+   0, a write acknowledged up to that time must be visible to any session,
+   except one under the primary rule, which may be lost.  */
 void oracle_read_answered (struct oracle *oracle, struct oracle_write *write,
                            size_t session, const struct entry_answer *answer,
                            clk_ms since_ms);
--- a/tests/fuzz/sim_steps.c
+++ b/tests/fuzz/sim_steps.c
@@ -122,7 +122,8 @@
 }
 
 /* Cuts or heals one link between hosts, to an instance or to the platform, or
-   cuts off the whole failure domain of host A.  */
+   cuts host A and the replication of its failure domain off from the other
+   failure domains and host A off from the platform.  */
 static void
 network_fault (struct run *run, uint8_t variant, size_t a, size_t b)
 {
@@ -183,8 +184,8 @@
     }
 }
 
-/* Repairs the faults of host I and of one instance, so that faults don't only
-   accumulate in a run.  */
+/* Repairs the faults of host I, of one instance and of the platform, so that
+   faults don't only accumulate in a run.  */
 static void
 repair_one (struct run *run, size_t i)
 {
@@ -249,7 +250,7 @@
 }
 
 /* Cuts off the primary's failure domain, then sends requests to both sides.
-   The hosts in the domain keep running and must not serve outdated data.  */
+   The host that is cut off keeps serving and must not serve outdated data.  */
 static void
 lose_domain (struct run *run, clk_ms wait_ms)
 {
@@ -284,7 +285,8 @@
     cut_instances (run, i, false);
 }
 
-/* Delays the replay of all replicas beyond the age that reads allow.  */
+/* Delays the replay of all replicas by LAG_MS, then reads on all hosts with a
+   maximum age, which LAG_MS may exceed.  */
 static void
 lag_all (struct run *run, clk_ms lag_ms)
 {
--- a/tests/unit/test_pg_faults.c
+++ b/tests/unit/test_pg_faults.c
@@ -255,8 +255,9 @@
   ck_assert_int_gt (refused, 5);
 }
 
-/* A server that does not speak the protocol: it sends random bytes from SEED,
-   on every second connection after a well-formed greeting.  */
+/* A server that does not speak the protocol.  It sends a well-formed greeting
+   on every second connection, and then random bytes on all but every third
+   connection.  */
 
 static const char greeting[] = "R\0\0\0\10\0\0\0\0Z\0\0\0\5I";
 
