--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -59,12 +59,12 @@
 
 static const char doc[]
     = "Read and change the configuration of teams.\v"
-      "PATH lists the names below the team's subtree, separated by '/'.  "
-      "VALUE is JSON; text that is not JSON is used as a string.  FILE is "
-      "the whole subtree of a team as JSON; '-' is standard input.  `check' "
-      "contacts no host.  The operator's secret is read from a file or from "
-      "SAVORYWAY_OPERATOR_SECRET.  If a change may have been made, repeat it "
-      "with the same --change-id to learn its outcome.";
+      "PATH lists the names from the root of the team's subtree down, "
+      "separated by '/'.  VALUE is JSON; text that is not JSON is used as a "
+      "string.  FILE is the whole subtree of a team as JSON; '-' is standard "
+      "input.  `check' contacts no host.  The operator's secret is read from "
+      "a file or from SAVORYWAY_OPERATOR_SECRET.  If a change may have been "
+      "made, repeat it with the same --change-id to learn its outcome.";
 
 static const struct argp_option options[] = {
   { "json", 'j', NULL, 0, "Print the answer as JSON", 0 },
--- a/src/proxy/roster_duty.c
+++ b/src/proxy/roster_duty.c
@@ -45,8 +45,8 @@
   clk_ms due_ms
       = kernel_now (kernel)
         + (clk_ms)rng_below (kernel_rng (kernel), (uint64_t)spread_ms);
-  if (due_ms < roster->yield_until_ms)
-    due_ms = roster->yield_until_ms;
+  if (due_ms < roster->resign_until_ms)
+    due_ms = roster->resign_until_ms;
   kernel_timer_set (kernel, &roster->claim_timer, due_ms);
 }
 
@@ -125,7 +125,7 @@
              LOG_S ("why", why), LOG_U ("token", key->created));
   /* The lease may still be valid, and its release may fail.  */
   roster->resigned_token = key->created;
-  roster->yield_until_ms = roster_now (roster) + ROSTER_RESIGN_BACKOFF_MS;
+  roster->resign_until_ms = roster_now (roster) + ROSTER_RESIGN_BACKOFF_MS;
   lease_release (roster->duty_lease);
 }
 
--- a/src/proxy/roster_impl.h
+++ b/src/proxy/roster_impl.h
@@ -81,8 +81,8 @@
   size_t report_keys; /* number of KEYS that are reports */
   struct lease *host_lease;
   struct lease *duty_lease;
-  bool claiming; /* a write of the duty key is in flight */
-  clk_ms yield_until_ms;
+  bool claiming;           /* a write of the duty key is in flight */
+  clk_ms resign_until_ms;  /* no claim of the duty before this */
   uint64_t resigned_token; /* token of the duty resigned last */
   bool leaving;
   uint64_t registered; /* revision of this process's registration */
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -328,7 +328,7 @@
   for (int i = 0; i < MUTATIONS; i++)
     {
       struct answer answer = { 0 };
-      struct kv_response reply;
+      struct kv_response response;
       struct catalog_config parsed;
       struct instance_entry entry;
       size_t length = mutate (&rng, messages[i % 8], out, sizeof out);
@@ -338,8 +338,8 @@
       length = mutate (&rng, bodies[i % 4], out, sizeof out);
       enum platform_call_kind kind
           = (enum platform_call_kind)rng_below (&rng, PLATFORM_WATCH + 1);
-      store_codec.parse (&reply, kind, 200, NULL, out, length);
-      kv_response_clear (&reply);
+      store_codec.parse (&response, kind, 200, NULL, out, length);
+      kv_response_clear (&response);
       length = mutate (&rng, config, out, sizeof out);
       struct platform_item item
           = { .key = "servers/i-1", .value = out, .value_bytes = length };
